--- a/godwitlanding/daemons/arbiter.py
+++ b/godwitlanding/daemons/arbiter.py
@@ -23,9 +23,9 @@
 from godwitlanding.daemons.permits import Permit, PermitBook, Teacher
 from godwitlanding.daemons.pool import Pool
 from godwitlanding.decisions.admission import Admission
+from godwitlanding.decisions.longjobs import LongJobs
 from godwitlanding.decisions.outlier import OutlierDetector
 from godwitlanding.decisions.poison import PoisonLedger
-from godwitlanding.decisions.reserve import LongJobs
 from godwitlanding.decisions.spill import SpillAllowances
 from godwitlanding.decisions.warmup import Warmup
 
@@ -257,5 +257,5 @@
         return None
 
     def _get_excluded(self, ask, now):
-        crashed = self.poison.get_crashed(ask.fingerprint, now)
+        crashed = self.poison.get_crashed_upstreams(ask.fingerprint, now)
         return ask.excluded_upstreams | crashed
--- a/godwitlanding/daemons/services/arbitration.py
+++ b/godwitlanding/daemons/services/arbitration.py
@@ -22,7 +22,7 @@
 from godwitlanding.daemons.desk import PERMIT_ID_BITS, Desk
 from godwitlanding.decisions.health import DRAINING, UpstreamHealth
 from godwitlanding.decisions.poison import PoisonLedger
-from godwitlanding.decisions.spill import LinkMeter
+from godwitlanding.decisions.spill import LinkLimiter
 
 # A crash is told to the zone's members and to this many VMs elsewhere.
 MAX_TOLD_ELSEWHERE = 64
@@ -164,7 +164,7 @@
         )
         now = self._now()
         for zone, meter in self._get_meters().items():
-            desk.arbiter.spill.set_meter(zone, meter)
+            desk.arbiter.spill.set_link_limiter(zone, meter)
         desk.take(desk.arbiter.set_allowances(allowances, now), now)
         self.refresh_usable(service.name)
 
@@ -177,7 +177,7 @@
             meter = self._meter_by_zone.get(target)
             limits = (link.requests_per_s, link.bytes_per_s)
             if meter is None or (meter.requests_per_s, meter.bytes_per_s) != limits:
-                self._meter_by_zone[target] = LinkMeter(*limits)
+                self._meter_by_zone[target] = LinkLimiter(*limits)
         return self._meter_by_zone
 
     def _note_drains(self, config, service, health, now):
@@ -268,7 +268,7 @@
     def _note_outcome(self, service, message, now):
         health = self.health_by_service[service]
         if message.outcome == OUTCOME_LEAVING:
-            health.note_word(message.upstream, DRAINING, now)
+            health.note_signal(message.upstream, DRAINING, now)
             self.refresh_usable(service)
         elif message.outcome == OUTCOME_OK:
             health.note_success(message.upstream, now)
@@ -282,7 +282,7 @@
 
     async def _take_signal(self, channel, message):
         for service, health in self.health_by_service.items():
-            health.note_word(message.upstream, message.state, self._now())
+            health.note_signal(message.upstream, message.state, self._now())
             self.refresh_usable(service)
 
     def _schedule(self):
--- a/godwitlanding/daemons/services/carrier.py
+++ b/godwitlanding/daemons/services/carrier.py
@@ -10,7 +10,7 @@
 from godwitlanding.daemons.holdings import Permit, Spill
 from godwitlanding.daemons.trace import Trace
 from godwitlanding.decisions.poison import CRASHES_TO_STOP, PoisonLedger
-from godwitlanding.decisions.retry import Failure, RetryPolicy, Tries
+from godwitlanding.decisions.retry import AttemptHistory, Failure, RetryPolicy
 
 
 class Final(NamedTuple):
@@ -44,7 +44,7 @@
     request: object
     sink: object
     guard: Guard
-    tries: Tries
+    tries: AttemptHistory
 
 
 class Carrier(Service):
@@ -80,7 +80,7 @@
         poison = self.policy.check(request, asyncio.get_running_loop().time())
         if poison:
             return poison
-        job = Job(request, sink, guard, Tries())
+        job = Job(request, sink, guard, AttemptHistory())
         may_pass_on = not request.from_zone
         asks = 0
         while True:
@@ -89,7 +89,7 @@
             )
             step = await self._use(granted, job)
             if isinstance(step, Final):
-                return step.refusal and job.tries.qualify(step.refusal)
+                return step.refusal and job.tries.adjust_refusal(step.refusal)
             asks += 1
             self.trace.add(request.id, "retried", reason=step.reason)
             may_pass_on = may_pass_on and not isinstance(granted, Spill)
@@ -122,7 +122,7 @@
             if not self._permits.book.may_dispatch(permit, loop.time()):
                 return self._ask_anew(request, loop.time())
             if not job.tries.count:
-                self.policy.note_first_try(request.service.name, loop.time())
+                self.policy.note_first_attempt(request.service.name, loop.time())
             outcome = OUTCOME_CANCELLED
             attempt = await self._upstreams.dispatch(request, permit, job.sink)
             outcome = attempt.outcome
--- a/godwitlanding/daemons/services/passer.py
+++ b/godwitlanding/daemons/services/passer.py
@@ -10,7 +10,7 @@
 from godwitlanding.base.tasks import Tasks
 from godwitlanding.daemons.answer import Attempt
 from godwitlanding.daemons.forward import HOP, Forward, sign_forward
-from godwitlanding.decisions.spill import LinkMeter
+from godwitlanding.decisions.spill import LinkLimiter
 
 # One VM that has just died must not fail the spill; with more, the caller
 # waits through a zone that is gone.
@@ -118,7 +118,7 @@
         count = max(1, sum(member.alive for member in members))
         held = self._meter_by_zone.get(zone)
         if held is None or held[0] != (link, count):
-            meter = LinkMeter(link.requests_per_s / count, link.bytes_per_s / count)
+            meter = LinkLimiter(link.requests_per_s / count, link.bytes_per_s / count)
             held = ((link, count), meter)
             self._meter_by_zone[zone] = held
         return held[1]
--- a/godwitlanding/daemons/services/planner.py
+++ b/godwitlanding/daemons/services/planner.py
@@ -9,7 +9,7 @@
 from godwitlanding.base.tasks import Tasks
 from godwitlanding.daemons.services.summary import SUMMARY_KIND
 from godwitlanding.decisions.demand import Demand
-from godwitlanding.decisions.lease import LeaseKeeper, format_lease, parse_lease
+from godwitlanding.decisions.lease import LeaseCandidate, format_lease, parse_lease
 from godwitlanding.decisions.plan import format_plan, parse_plan
 from godwitlanding.decisions.planner import Planner
 
@@ -28,7 +28,7 @@
     def __init__(self, context):
         self._context = context
         self._tasks = Tasks()
-        self._keeper = LeaseKeeper(context.incarnation, context.settings["lease_s"])
+        self._keeper = LeaseCandidate(context.incarnation, context.settings["lease_s"])
         self._demand = Demand(context.settings["summary_max_age_s"])
         self._planner = None
 
@@ -74,7 +74,7 @@
             services = config.service_by_name.values() if config else ()
             work_s_by_service = {service.name: service.work_s for service in services}
             try:
-                self._demand.take(
+                self._demand.add_summary(
                     state.name, state.version, state.body, work_s_by_service, now
                 )
             except (ValueError, TypeError, AttributeError) as error:
--- a/godwitlanding/decisions/admission.py
+++ b/godwitlanding/decisions/admission.py
@@ -56,7 +56,7 @@
         self.mean_s += _ALPHA * error_s
         self.deviation_s += _ALPHA * (abs(error_s) - self.deviation_s)
 
-    def get_reserve_s(self):
+    def get_upper_bound_s(self):
         """Return the time that nearly every request ends within."""
         return self.mean_s + DEVIATIONS * self.deviation_s
 
@@ -66,13 +66,13 @@
 
     def __init__(self, work_s):
         self.work_time = WorkTime(work_s)
-        self._next_return = 0.0
+        self._next_retry_at = 0.0
 
     def get_start_by(self, now, deadline, priority):
         """Return the latest time at which the request has to start."""
         share = PATIENCE * WAIT_SHARE_BY_PRIORITY.get(priority, DEFAULT_WAIT_SHARE)
         remaining_s = deadline - now
-        work_s = min(self.work_time.get_reserve_s(), MAX_WORK_SHARE * remaining_s)
+        work_s = min(self.work_time.get_upper_bound_s(), MAX_WORK_SHARE * remaining_s)
         return now + min(share * remaining_s, remaining_s - work_s)
 
     def get_recovery_start_by(self, now, deadline):
@@ -82,7 +82,7 @@
         again, which takes no longer for a longer queue.
         """
         remaining_s = deadline - now
-        work_s = min(self.work_time.get_reserve_s(), MAX_WORK_SHARE * remaining_s)
+        work_s = min(self.work_time.get_upper_bound_s(), MAX_WORK_SHARE * remaining_s)
         return now + min(RECOVERY_WAIT_S, remaining_s - work_s)
 
     def get_wait_s(self, ahead, slots, mean_s=0.0):
@@ -96,7 +96,7 @@
         mean_s = max(1e-3, self.work_time.mean_s)
         rate_per_s = max(1, slots) / mean_s
         earliest = now + max(MIN_RETRY_AFTER_S, queued / rate_per_s)
-        spaced = self._next_return + 1 / (RETURN_SHARE * rate_per_s)
+        spaced = self._next_retry_at + 1 / (RETURN_SHARE * rate_per_s)
         latest = now + MAX_RETRY_AFTER_S
-        self._next_return = min(latest, max(earliest, spaced))
-        return self._next_return - now
+        self._next_retry_at = min(latest, max(earliest, spaced))
+        return self._next_retry_at - now
--- a/godwitlanding/decisions/allowances.py
+++ b/godwitlanding/decisions/allowances.py
@@ -40,7 +40,7 @@
     return sorted(others[:MAX_TARGETS])
 
 
-def share_out(headroom, in_use_by_source):
+def divide_headroom(headroom, in_use_by_source):
     """Return the allowance of each source, whole requests.
 
     ``in_use_by_source`` is what each may still use by an older plan. The
@@ -55,17 +55,17 @@
     if not in_use_by_source:
         return {}
     pool = max(0.0, headroom) * SPILL_SHARE
-    fair = floor(pool / len(in_use_by_source))
+    fair_share = floor(pool / len(in_use_by_source))
     free = floor(max(0.0, pool - sum(in_use_by_source.values())))
     allowance_by_source = {}
     for source, in_use in sorted(in_use_by_source.items()):
-        raised = min(max(0, fair - in_use), free)
+        raised = min(max(0, fair_share - in_use), free)
         free -= raised
-        allowance_by_source[source] = min(in_use, fair) + raised
+        allowance_by_source[source] = min(in_use, fair_share) + raised
     return allowance_by_source
 
 
-def share_out_rest(headroom, in_use_by_source, allowance_by_source, heard):
+def divide_small_headroom(headroom, in_use_by_source, allowance_by_source, heard):
     """Return the allowances with one request for some, where all are 0.
 
     In a zone of two upstreams the pool is two or three requests for as
--- a/godwitlanding/decisions/memorysize.py
+++ b/godwitlanding/decisions/cachesize.py
@@ -14,13 +14,13 @@
 """
 
 # Before any answer has told.
-FIRST_OBJECTS = 16.0
+INITIAL_OBJECTS = 16.0
 MIN_OBJECTS = 3.0
 MAX_OBJECTS = 64.0
 _WEIGHT = 0.1
 
 
-class MemorySize:
+class CacheSizeEstimate:
     """Objects that an upstream remembers, by service."""
 
     def __init__(self):
@@ -28,7 +28,7 @@
 
     def get(self, service):
         """Return how many objects an upstream of the service remembers."""
-        return self._objects_by_service.get(service, FIRST_OBJECTS)
+        return self._objects_by_service.get(service, INITIAL_OBJECTS)
 
     def note(self, service, depth, was_known):
         """Take an answer, ``depth`` other objects after the last one."""
--- a/godwitlanding/decisions/room.py
+++ b/godwitlanding/decisions/capacity.py
@@ -9,14 +9,14 @@
 """
 
 
-class Room:
+class CapacityBudget:
     """Headroom by zone and service, spent as steps are planned."""
 
     def __init__(self, config, demand, now):
         self._config = config
         self._demand = demand
         self._now = now
-        self._spent = {}
+        self._reserved = {}
 
     def get_load(self, zone, service):
         """Return the zone's ``ServiceLoad`` or ``None``."""
@@ -29,12 +29,12 @@
             return 0.0
         region = self._config.region_by_name[self._config.region_by_zone[zone]]
         free = load.usable_slots * region.load_limit - load.demand
-        return free - self._spent.get((zone, service), 0.0)
+        return free - self._reserved.get((zone, service), 0.0)
 
-    def spend(self, zone, service, slots):
+    def reserve(self, zone, service, slots):
         """Count slots as taken by a step of this plan."""
         key = (zone, service)
-        self._spent[key] = self._spent.get(key, 0.0) + slots
+        self._reserved[key] = self._reserved.get(key, 0.0) + slots
 
     def estimate_origin(self, service, origin, row):
         """Return the most that an origin's callers can ask for, in slots.
@@ -57,12 +57,12 @@
         """Return what one slot of ``service`` calls for, by service."""
         own = self._sum_demand(service)
         factor_by_name = {}
-        todo = list(self._config.service_by_name[service].depends_on)
-        while todo:
-            name = todo.pop()
+        pending = list(self._config.service_by_name[service].depends_on)
+        while pending:
+            name = pending.pop()
             if name not in factor_by_name:
                 factor_by_name[name] = self._sum_demand(name) / own if own else 0.0
-                todo.extend(self._config.service_by_name[name].depends_on)
+                pending.extend(self._config.service_by_name[name].depends_on)
         return factor_by_name
 
     def _sum_demand(self, service):
--- a/godwitlanding/decisions/choice.py
+++ b/godwitlanding/decisions/choice.py
@@ -71,8 +71,8 @@
     data = caller.encode()
 
     def get_cost(zone):
-        drawn = xxh3_64_intdigest(data, get_seed(f"{service}@{zone}"))
-        return -log((drawn + 1) / _HASH_RANGE) / weight_by_zone[zone]
+        hash_value = xxh3_64_intdigest(data, get_seed(f"{service}@{zone}"))
+        return -log((hash_value + 1) / _HASH_RANGE) / weight_by_zone[zone]
 
     return sorted(zones, key=get_cost)
 
--- a/godwitlanding/decisions/demand.py
+++ b/godwitlanding/decisions/demand.py
@@ -26,7 +26,7 @@
     warm_share: float
 
 
-class _Seen(NamedTuple):
+class _Summary(NamedTuple):
     at: float
     version: int
     value: dict
@@ -37,40 +37,40 @@
 
     def __init__(self, max_age_s):
         self._max_age_s = max_age_s
-        self._seen_by_zone = {}
+        self._summary_by_zone = {}
         self._samples_by_key = {}
 
-    def take(self, zone, version, body, work_s_by_service, now):
+    def add_summary(self, zone, version, body, work_s_by_service, now):
         """Take a summary; one seen before does not count as newer."""
-        seen = self._seen_by_zone.get(zone)
-        if seen and version <= seen.version:
+        summary = self._summary_by_zone.get(zone)
+        if summary and version <= summary.version:
             return
         value = json.loads(body)
-        self._seen_by_zone[zone] = _Seen(now, version, value)
+        self._summary_by_zone[zone] = _Summary(now, version, value)
         for service, row in value.get("services", {}).items():
             work_s = work_s_by_service.get(service, 0.0)
-            in_hand = row.get("busy", 0) + row.get("queued", 0)
+            in_progress = row.get("busy", 0) + row.get("queued", 0)
             arriving = row.get("arrivals_per_s", 0.0) * work_s
             samples = self._samples_by_key.setdefault(
                 (zone, service), deque(maxlen=SAMPLES)
             )
-            samples.append(max(in_hand, arriving))
+            samples.append(max(in_progress, arriving))
 
     def is_fresh(self, zone, now):
         """Tell whether the zone's measurements may be used."""
-        seen = self._seen_by_zone.get(zone)
-        return seen is not None and now - seen.at <= self._max_age_s
+        summary = self._summary_by_zone.get(zone)
+        return summary is not None and now - summary.at <= self._max_age_s
 
     def get_plan_version(self, zone):
         """Return the plan that every member of a zone has at least."""
-        seen = self._seen_by_zone.get(zone)
-        return seen.value.get("plan_version", 0) if seen else 0
+        summary = self._summary_by_zone.get(zone)
+        return summary.value.get("plan_version", 0) if summary else 0
 
     def get_load(self, zone, service, now):
         """Return a ``ServiceLoad``, or ``None`` where it is not known."""
         if not self.is_fresh(zone, now):
             return None
-        row = self._seen_by_zone[zone].value.get("services", {}).get(service)
+        row = self._summary_by_zone[zone].value.get("services", {}).get(service)
         if row is None:
             return None
         return ServiceLoad(
--- a/godwitlanding/decisions/digest.py
+++ b/godwitlanding/decisions/digest.py
@@ -14,7 +14,7 @@
 
 from godwitlanding.base.rendezvous import rank
 from godwitlanding.decisions.fleet import find_strong, pick_carriers
-from godwitlanding.decisions.objectmap import Meeting
+from godwitlanding.decisions.objectmap import CacheEntry
 from godwitlanding.decisions.ratelimit import LimitedUpstream
 from godwitlanding.decisions.tally import Asked
 
@@ -56,7 +56,7 @@
     source: str
     changed_at: tuple[int, ...]
     # Which upstreams got which objects lately.
-    met: tuple[Meeting, ...] = ()
+    met: tuple[CacheEntry, ...] = ()
     # What the region's callers ask for, by workspace; in every other digest.
     asked: tuple[Asked, ...] = ()
     # Its upstreams that have named a limit.
--- a/godwitlanding/decisions/fairness.py
+++ b/godwitlanding/decisions/fairness.py
@@ -71,7 +71,7 @@
         """Move virtual time on to the tag of a request that got a slot."""
         self._now = max(self._now, tag.start)
 
-    def take_back(self, caller, cost):
+    def refund(self, caller, cost):
         """Undo the charge of a request that got no slot."""
         finish = self._finish_by_caller.get(caller, 0.0)
         if finish > self._now:
--- a/godwitlanding/decisions/health.py
+++ b/godwitlanding/decisions/health.py
@@ -26,7 +26,7 @@
 
 PROBES_TO_FAIL = 2
 MAX_FAILING_SHARE = 0.5
-WORD_HOLD_S = 10.0
+SIGNAL_HOLD_S = 10.0
 
 
 class Verdict(NamedTuple):
@@ -41,7 +41,7 @@
     def __init__(self):
         self.list_leaving = False
         self.probe_leaving = False
-        self.word_at = None
+        self.signaled_at = None
         self.ready_since = None
         self.failed_in_a_row = 0
         self.failing_since = None
@@ -74,11 +74,11 @@
         if record:
             record.list_leaving = leaving
 
-    def note_word(self, upstream_id, state, now):
+    def note_signal(self, upstream_id, state, now):
         """Take what the upstream said to a request (``Signal.state``)."""
         record = self._record_by_upstream.get(upstream_id)
         if record and state == DRAINING:
-            record.word_at = now
+            record.signaled_at = now
             record.ready_since = None
 
     def note_probe(self, upstream_id, state, now):
@@ -96,8 +96,8 @@
             record.ready_since = None
         elif record.ready_since is None:
             record.ready_since = now
-        if record.word_at is not None and self._is_word_over(record, now):
-            record.word_at = None
+        if record.signaled_at is not None and self._is_signal_expired(record, now):
+            record.signaled_at = None
 
     def note_success(self, upstream_id, now):
         """The upstream finished a request."""
@@ -107,11 +107,13 @@
 
     def get_verdicts(self, now):
         """Return every upstream's verdict by its id."""
-        staying = [r for r in self._record_by_upstream.values() if not _why_leaving(r)]
-        failing = [record for record in staying if _is_failing(record)]
-        believed = len(failing) <= len(staying) * MAX_FAILING_SHARE
+        not_leaving = [
+            r for r in self._record_by_upstream.values() if not _get_leaving_reason(r)
+        ]
+        failing = [record for record in not_leaving if _is_failing(record)]
+        are_probes_trusted = len(failing) <= len(not_leaving) * MAX_FAILING_SHARE
         return {
-            upstream_id: _judge(record, believed)
+            upstream_id: _make_verdict(record, are_probes_trusted)
             for upstream_id, record in self._record_by_upstream.items()
         }
 
@@ -121,24 +123,24 @@
         if record.failing_since is None:
             record.failing_since = now
 
-    def _is_word_over(self, record, now):
+    def _is_signal_expired(self, record, now):
         since = record.ready_since
-        return since is not None and now - since >= WORD_HOLD_S
+        return since is not None and now - since >= SIGNAL_HOLD_S
 
 
-def _judge(record, probes_believed):
-    why = _why_leaving(record)
+def _make_verdict(record, probes_trusted):
+    why = _get_leaving_reason(record)
     if why:
         return Verdict(False, True, why)
-    if probes_believed and _is_failing(record):
+    if probes_trusted and _is_failing(record):
         return Verdict(False, False, "failed probes")
     return Verdict(True, False, "")
 
 
-def _why_leaving(record):
+def _get_leaving_reason(record):
     if record.list_leaving:
         return "the configuration drains it"
-    if record.word_at is not None:
+    if record.signaled_at is not None:
         return "its own word"
     if record.probe_leaving:
         return "its health endpoint"
--- a/godwitlanding/decisions/homes.py
+++ b/godwitlanding/decisions/homes.py
@@ -24,9 +24,9 @@
 from godwitlanding.base.rendezvous import rank
 
 # After this many other objects an upstream still knows most that it met.
-REMEMBERED_OBJECTS = 14
+CACHED_OBJECTS = 14
 # Hashing deals unevenly: some upstreams get nearly twice as many.
-OBJECTS_EACH = 8
+OBJECTS_PER_UPSTREAM = 8
 MAX_HOMES = 4
 # A service is taken to have this many at the least, about the number of the
 # smallest services today.
@@ -37,7 +37,7 @@
 # Objects remembered for counting; beyond that one home is all there can be.
 _MAX_COUNTED = 10_000
 # The estimate is made anew when the requests have grown by this factor.
-_GROWTH = 1.1
+_ESTIMATE_GROWTH = 1.1
 _MAX_RANKED = 10_000
 
 
@@ -47,7 +47,7 @@
     ``objects`` is 0 where it is not known.
     """
     objects = max(objects or _MAX_COUNTED, MIN_OBJECTS)
-    return max(1, min(MAX_HOMES, OBJECTS_EACH * upstreams // objects))
+    return max(1, min(MAX_HOMES, OBJECTS_PER_UPSTREAM * upstreams // objects))
 
 
 def estimate_objects(distinct, requests):
@@ -71,7 +71,7 @@
     return high
 
 
-def pick_homes(order, count, is_usable, is_sound):
+def pick_homes(order, count, is_usable, is_healthy):
     """Return the homes among upstreams in their ``order``.
 
     ``is_usable`` and ``is_sound`` tell of an upstream whether it may be used
@@ -84,28 +84,28 @@
         if not is_usable(upstream):
             continue
         usable.append(upstream)
-        if is_sound(upstream):
+        if is_healthy(upstream):
             homes.append(upstream)
             if len(homes) == count:
                 break
     return homes or usable
 
 
-class _Met:
+class _ObjectCounter:
     """The objects of one service that were met."""
 
     def __init__(self):
         self.keys = set()
         self.requests = 0
         self.objects = 0.0
-        self.counted_again_at = MIN_REQUESTS
+        self.next_estimate_at = MIN_REQUESTS
 
     def note(self, key):
         self.requests += 1
         if len(self.keys) < _MAX_COUNTED:
             self.keys.add(key)
-        if self.requests >= self.counted_again_at:
-            self.counted_again_at = math.ceil(self.requests * _GROWTH)
+        if self.requests >= self.next_estimate_at:
+            self.next_estimate_at = math.ceil(self.requests * _ESTIMATE_GROWTH)
             self.objects = estimate_objects(len(self.keys), self.requests)
 
 
@@ -114,18 +114,18 @@
 
     def __init__(self):
         self._order_by_key = OrderedDict()
-        self._met_by_service = {}
+        self._counter_by_service = {}
 
     def note_object(self, service, key):
         """Count an object of a service."""
-        met = self._met_by_service.get(service)
+        met = self._counter_by_service.get(service)
         if met is None:
-            met = self._met_by_service[service] = _Met()
+            met = self._counter_by_service[service] = _ObjectCounter()
         met.note(key)
 
     def get_objects(self, service):
         """Return how many objects a service seems to have, 0 if unknown."""
-        met = self._met_by_service.get(service)
+        met = self._counter_by_service.get(service)
         return met.objects if met else 0
 
     def get_count(self, service, upstreams):
--- a/godwitlanding/decisions/lease.py
+++ b/godwitlanding/decisions/lease.py
@@ -43,7 +43,7 @@
     return json.dumps(lease._asdict(), sort_keys=True).encode()
 
 
-class LeaseKeeper:
+class LeaseCandidate:
     """One candidate's view of a lease."""
 
     def __init__(self, candidate, lease_s):
@@ -53,9 +53,9 @@
         self._lease_s = lease_s
         self._seen_at = None
         # When the platform was seen to have lost a version of the lease.
-        self._lost_at = None
+        self._rolled_back_at = None
         self._valid_until = 0.0
-        self._tried = {}
+        self._sent_at_by_renewal = {}
 
     def observe(self, lease, version, now):
         """Take the lease as read from the platform; ``None`` if it is not.
@@ -66,13 +66,13 @@
         if self._seen_at is None or version != self.version:
             self._seen_at = now
         if version < self.version:
-            self._lost_at = now
+            self._rolled_back_at = now
         self.version = version
         self.lease = lease or Lease("", 0)
         if self.lease.holder != self._candidate:
             self._valid_until = 0.0
             return
-        sent_at = self._tried.get(self.lease.renewal)
+        sent_at = self._sent_at_by_renewal.get(self.lease.renewal)
         if sent_at is not None:
             self._valid_until = max(self._valid_until, sent_at + self._lease_s)
 
@@ -87,7 +87,7 @@
         """
         if self._seen_at is None:
             return None
-        if not self.holds(now) and self._may_be_lost(now):
+        if not self.holds(now) and self._has_recent_rollback(now):
             return None
         if self.lease.holder == self._candidate:
             interval_s = self._lease_s / RENEWALS_PER_LEASE
@@ -97,11 +97,14 @@
         elif self.lease.holder and now - self._seen_at < self._lease_s:
             return None
         attempt = Lease(self._candidate, self.lease.renewal + 1)
-        self._tried = {attempt.renewal: now}
+        self._sent_at_by_renewal = {attempt.renewal: now}
         return attempt
 
-    def _may_be_lost(self, now):
-        return self._lost_at is not None and now - self._lost_at < self._lease_s
+    def _has_recent_rollback(self, now):
+        return (
+            self._rolled_back_at is not None
+            and now - self._rolled_back_at < self._lease_s
+        )
 
     def note_written(self, lease, version, now):
         """The platform has taken ``lease`` as ``version``."""
--- a/godwitlanding/decisions/reserve.py
+++ b/godwitlanding/decisions/longjobs.py
@@ -20,19 +20,19 @@
 from collections import OrderedDict
 from math import exp, floor, log
 
-LONG_TIMES = 6.0
+LONG_FACTOR = 6.0
 LONG_SHARE = 0.75
 MAX_FINGERPRINTS = 4096
 _ALPHA = 0.3
 _TYPICAL_ALPHA = 0.02
-_LEAST_S = 1e-4
+_MIN_S = 1e-4
 
 
 class LongJobs:
     """Foresees how long a request takes and limits the long ones."""
 
     def __init__(self, work_s):
-        self.work_s = max(_LEAST_S, work_s)
+        self.work_s = max(_MIN_S, work_s)
         self._typical_log = log(self.work_s)
         self._expected_by_fingerprint = OrderedDict()
         self.mean_long_s = 0.0
@@ -44,9 +44,9 @@
 
     def note(self, fingerprint, took_s):
         """Learn from a request that was finished."""
-        took_s = max(_LEAST_S, took_s)
+        took_s = max(_MIN_S, took_s)
         self._typical_log += _TYPICAL_ALPHA * (log(took_s) - self._typical_log)
-        if took_s > LONG_TIMES * self.typical_s:
+        if took_s > LONG_FACTOR * self.typical_s:
             change_s = took_s - self.mean_long_s
             self.mean_long_s += change_s * (_ALPHA if self.mean_long_s else 1.0)
         if not fingerprint:
@@ -67,7 +67,7 @@
 
     def is_long(self, expected_s):
         """Tell whether a request of that time counts as long."""
-        return expected_s > LONG_TIMES * self.typical_s
+        return expected_s > LONG_FACTOR * self.typical_s
 
     def get_limit(self, slots):
         """Return how many of the slots long jobs may hold."""
--- a/godwitlanding/decisions/objectmap.py
+++ b/godwitlanding/decisions/objectmap.py
@@ -22,10 +22,10 @@
 MAX_KNOWN = 64
 # What is known already is told again after this time, so that those who
 # missed it, and the order in which objects are forgotten, stay right.
-TELL_AGAIN_S = 5.0
+ANNOUNCE_INTERVAL_S = 5.0
 
 
-class Meeting(NamedTuple):
+class CacheEntry(NamedTuple):
     """An upstream got an object; both as 32-bit numbers.
 
     That of the upstream stands for its present start.
@@ -44,64 +44,68 @@
     """Objects by upstream and upstreams by object, as numbers."""
 
     def __init__(self):
-        self._met_at_by_key_by_upstream = {}
+        self._added_at_by_key_by_upstream = {}
         self._upstreams_by_key = {}
-        self._told_at_by_meeting = {}
+        self._announced_at_by_entry = {}
         self._answered = set()
 
-    def note(self, meeting, now):
+    def note(self, cache_entry, now):
         """An upstream gets an object; return whether that is to be told."""
-        self.hear(meeting, now)
-        told_at = self._told_at_by_meeting.get(meeting)
-        if told_at is not None and now - told_at < TELL_AGAIN_S:
+        self.hear(cache_entry, now)
+        announced_at = self._announced_at_by_entry.get(cache_entry)
+        if announced_at is not None and now - announced_at < ANNOUNCE_INTERVAL_S:
             return False
-        self._told_at_by_meeting[meeting] = now
+        self._announced_at_by_entry[cache_entry] = now
         return True
 
-    def note_answer(self, meeting):
+    def note_answer(self, cache_entry):
         """The upstream has answered this VM about the object."""
-        if self.get_depth(*meeting) is not None:
-            self._answered.add(meeting)
+        if self.get_depth(*cache_entry) is not None:
+            self._answered.add(cache_entry)
 
-    def has_answered(self, meeting):
+    def has_answered(self, cache_entry):
         """Tell whether it did; what peers tell may not have come to pass."""
-        return meeting in self._answered
+        return cache_entry in self._answered
 
-    def hear(self, meeting, now):
+    def hear(self, cache_entry, now):
         """Take the word of a peer, or our own."""
-        met_at_by_key = self._met_at_by_key_by_upstream.setdefault(
-            meeting.upstream, OrderedDict()
+        added_at_by_key = self._added_at_by_key_by_upstream.setdefault(
+            cache_entry.upstream, OrderedDict()
         )
-        met_at_by_key.setdefault(meeting.key, now)
-        met_at_by_key.move_to_end(meeting.key)
-        self._upstreams_by_key.setdefault(meeting.key, set()).add(meeting.upstream)
-        if len(met_at_by_key) > MAX_KNOWN:
-            oldest = next(iter(met_at_by_key))
-            self.drop(Meeting(meeting.upstream, oldest))
-
-    def drop(self, meeting):
+        added_at_by_key.setdefault(cache_entry.key, now)
+        added_at_by_key.move_to_end(cache_entry.key)
+        self._upstreams_by_key.setdefault(cache_entry.key, set()).add(
+            cache_entry.upstream
+        )
+        if len(added_at_by_key) > MAX_KNOWN:
+            oldest = next(iter(added_at_by_key))
+            self.drop(CacheEntry(cache_entry.upstream, oldest))
+
+    def drop(self, cache_entry):
         """The upstream did not get the object after all, or forgot it."""
-        met_at_by_key = self._met_at_by_key_by_upstream.get(meeting.upstream, {})
-        if met_at_by_key.pop(meeting.key, None) is None:
+        added_at_by_key = self._added_at_by_key_by_upstream.get(
+            cache_entry.upstream, {}
+        )
+        if added_at_by_key.pop(cache_entry.key, None) is None:
             return
-        self._lose(meeting)
+        self._remove_from_index(cache_entry)
 
-    def _lose(self, meeting):
-        self._told_at_by_meeting.pop(meeting, None)
-        self._answered.discard(meeting)
-        upstreams = self._upstreams_by_key[meeting.key]
-        upstreams.discard(meeting.upstream)
+    def _remove_from_index(self, cache_entry):
+        self._announced_at_by_entry.pop(cache_entry, None)
+        self._answered.discard(cache_entry)
+        upstreams = self._upstreams_by_key[cache_entry.key]
+        upstreams.discard(cache_entry.upstream)
         if not upstreams:
-            del self._upstreams_by_key[meeting.key]
+            del self._upstreams_by_key[cache_entry.key]
 
     def forget(self, upstream):
         """Drop all that an upstream knew."""
-        for key in list(self._met_at_by_key_by_upstream.pop(upstream, ())):
-            self._lose(Meeting(upstream, key))
+        for key in list(self._added_at_by_key_by_upstream.pop(upstream, ())):
+            self._remove_from_index(CacheEntry(upstream, key))
 
     def keep_only(self, upstreams):
         """Forget all but these; peers tell late of those that are gone."""
-        for upstream in self._met_at_by_key_by_upstream.keys() - upstreams:
+        for upstream in self._added_at_by_key_by_upstream.keys() - upstreams:
             self.forget(upstream)
 
     def get_upstreams(self, key):
@@ -113,28 +117,28 @@
 
         ``None`` where it has never got it.
         """
-        met_at_by_key = self._met_at_by_key_by_upstream.get(upstream, {})
-        if key not in met_at_by_key:
+        added_at_by_key = self._added_at_by_key_by_upstream.get(upstream, {})
+        if key not in added_at_by_key:
             return None
-        for depth, other in enumerate(reversed(met_at_by_key)):
+        for depth, other in enumerate(reversed(added_at_by_key)):
             if other == key:
                 return depth
         return None
 
     def count_known(self, upstream):
         """Return how many objects an upstream knows."""
-        return len(self._met_at_by_key_by_upstream.get(upstream, ()))
+        return len(self._added_at_by_key_by_upstream.get(upstream, ()))
 
-    def count_met_since(self, upstream, since):
+    def count_added_since(self, upstream, since):
         """Return how many objects it met for the first time since then."""
-        met_at_by_key = self._met_at_by_key_by_upstream.get(upstream, {})
-        return sum(met_at > since for met_at in met_at_by_key.values())
+        added_at_by_key = self._added_at_by_key_by_upstream.get(upstream, {})
+        return sum(added_at > since for added_at in added_at_by_key.values())
 
-    def get_meetings(self, most):
+    def get_cache_entries(self, limit):
         """Return up to ``most`` meetings, for a VM that knows none."""
         meetings = [
-            Meeting(upstream, key)
-            for upstream, met_at_by_key in self._met_at_by_key_by_upstream.items()
-            for key in met_at_by_key
+            CacheEntry(upstream, key)
+            for upstream, added_at_by_key in self._added_at_by_key_by_upstream.items()
+            for key in added_at_by_key
         ]
-        return tuple(meetings[:most])
+        return tuple(meetings[:limit])
--- a/godwitlanding/decisions/occupancy.py
+++ b/godwitlanding/decisions/occupancy.py
@@ -18,10 +18,10 @@
 
 # Twice the work on an object that is known, after which three quarters of
 # what a report speaks of have ended.
-REPORT_FADES_S = 0.3
+REPORT_DECAY_S = 0.3
 # A peer that was not heard for this long no longer counts: its process has
 # ended, or the network lost several of its messages in a row.
-PEER_SILENT_S = 1.5
+PEER_TIMEOUT_S = 1.5
 
 
 def get_upstream_number(upstream):
@@ -37,8 +37,8 @@
     def __init__(self, upstream):
         self.number = get_upstream_number(upstream)
         self.own = 0
-        self.unseen = 0
-        self.unseen_at = 0.0
+        self.unattributed = 0
+        self.reported_at = 0.0
 
 
 class Occupancy:
@@ -47,7 +47,7 @@
     def __init__(self):
         self._load_by_upstream = {}
         self._count_by_number_by_peer = {}
-        self._heard_at_by_peer = {}
+        self._updated_at_by_peer = {}
         self._total_by_number = {}
 
     def begin(self, upstream):
@@ -62,28 +62,28 @@
         """Take the upstream's own count of running and waiting requests."""
         load = self._get(upstream)
         known = load.own + self._total_by_number.get(load.number, 0)
-        load.unseen = max(0, total - known)
-        load.unseen_at = now
+        load.unattributed = max(0, total - known)
+        load.reported_at = now
 
     def note_peer(self, peer, count_by_number, now):
         """Take what a peer says it has at each upstream."""
-        self._heard_at_by_peer[peer] = now
+        self._updated_at_by_peer[peer] = now
         former = self._count_by_number_by_peer.get(peer, {})
         if count_by_number == former:
             return
         self._count_by_number_by_peer[peer] = count_by_number
-        self._move_total(former, count_by_number)
+        self._update_total(former, count_by_number)
 
     def drop_silent(self, now):
         """Forget peers that were not heard for ``PEER_SILENT_S``."""
         silent = [
             peer
-            for peer, heard_at in self._heard_at_by_peer.items()
-            if now - heard_at > PEER_SILENT_S
+            for peer, updated_at in self._updated_at_by_peer.items()
+            if now - updated_at > PEER_TIMEOUT_S
         ]
         for peer in silent:
-            del self._heard_at_by_peer[peer]
-            self._move_total(self._count_by_number_by_peer.pop(peer, {}), {})
+            del self._updated_at_by_peer[peer]
+            self._update_total(self._count_by_number_by_peer.pop(peer, {}), {})
 
     def get(self, upstream, now):
         """Return the requests that the upstream probably has."""
@@ -91,8 +91,8 @@
         if load is None:
             return self._total_by_number.get(get_upstream_number(upstream), 0)
         total = self._total_by_number.get(load.number, 0)
-        left = 1.0 - (now - load.unseen_at) / REPORT_FADES_S
-        return load.own + total + load.unseen * max(0.0, left)
+        left = 1.0 - (now - load.reported_at) / REPORT_DECAY_S
+        return load.own + total + load.unattributed * max(0.0, left)
 
     def get_report_age_s(self, upstream, now):
         """Return the seconds since the upstream's last own report.
@@ -100,7 +100,7 @@
         ``None`` where it has made none.
         """
         load = self._load_by_upstream.get(upstream)
-        return now - load.unseen_at if load and load.unseen_at else None
+        return now - load.reported_at if load and load.reported_at else None
 
     def get_own(self):
         """Return this process's counts by upstream, without the zeros."""
@@ -130,7 +130,7 @@
             load = self._load_by_upstream[upstream] = _Load(upstream)
         return load
 
-    def _move_total(self, former, count_by_number):
+    def _update_total(self, former, count_by_number):
         total = self._total_by_number
         for number, count in former.items():
             left = total[number] - count
--- a/godwitlanding/decisions/outlier.py
+++ b/godwitlanding/decisions/outlier.py
@@ -39,7 +39,7 @@
 )
 
 FAILURES_TO_EJECT = 5
-TIMES_THE_OTHERS = 2.0
+MIN_FAILURE_RATIO = 2.0
 EJECT_S = 5.0
 MAX_EJECT_S = 60.0
 MAX_EJECTED_SHARE = 0.5
@@ -48,7 +48,7 @@
 PROBATION_SAMPLES = 4
 # Weight of the newest sample in the running means: about the last 20 count.
 _ALPHA = 0.1
-_LEAST_TIMES = 1e-5
+_MIN_RELATIVE_TIME = 1e-5
 _FAILURES = frozenset({OUTCOME_FAILED, OUTCOME_TIMEOUT, OUTCOME_CRASHED})
 
 
@@ -56,7 +56,7 @@
     def __init__(self):
         self.mean_log = 0.0
         self.samples = 0
-        self.needed = MIN_SAMPLES
+        self.min_samples = MIN_SAMPLES
         self.failures_in_a_row = 0
         self.failure_share = 0.0
         self.ejected_until = 0.0
@@ -82,10 +82,10 @@
         """Forget an upstream that is no longer configured or lent."""
         record = self._record_by_upstream.pop(upstream_id, None)
         self._ejected.discard(upstream_id)
-        if record and record.samples >= record.needed:
+        if record and record.samples >= record.min_samples:
             self._means.discard(record.mean_log)
 
-    def note(self, upstream_id, outcome, times_usual, now):
+    def note(self, upstream_id, outcome, relative_time, now):
         """Count how a request ended; outcomes as in ``messages``.
 
         ``times_usual`` is how long it took as a multiple of what such
@@ -97,12 +97,12 @@
             self._note_failure_share(record, 0.0)
             record.failures_in_a_row = 0
             record.eject_s = max(EJECT_S, record.eject_s * 0.9)
-            self._note_time(record, times_usual, now)
+            self._note_time(record, relative_time, now)
         elif outcome in _FAILURES:
             self._note_failure_share(record, 1.0)
             record.failures_in_a_row += 1
             if outcome == OUTCOME_TIMEOUT:
-                self._note_time(record, times_usual, now)
+                self._note_time(record, relative_time, now)
             if self._is_outlier(record, outcome):
                 self._eject(upstream_id, record, now)
 
@@ -132,14 +132,14 @@
 
     def _note_failure_share(self, record, failed):
         record.failure_share += _ALPHA * (failed - record.failure_share)
-        pace = _ALPHA / max(1, len(self._record_by_upstream))
-        self._failure_share += pace * (failed - self._failure_share)
+        overall_weight = _ALPHA / max(1, len(self._record_by_upstream))
+        self._failure_share += overall_weight * (failed - self._failure_share)
 
     def _is_outlier(self, record, outcome):
         if outcome == OUTCOME_CRASHED:
             return True
-        often = record.failure_share >= TIMES_THE_OTHERS * self._failure_share
-        return often and record.failures_in_a_row >= FAILURES_TO_EJECT
+        fails_more = record.failure_share >= MIN_FAILURE_RATIO * self._failure_share
+        return fails_more and record.failures_in_a_row >= FAILURES_TO_EJECT
 
     def _eject(self, upstream_id, record, now):
         self._ejected = {
@@ -153,15 +153,15 @@
         record.eject_s = min(MAX_EJECT_S, record.eject_s * 2)
         record.failures_in_a_row = 0
 
-    def _note_time(self, record, times_usual, now):
-        if record.samples >= record.needed:
+    def _note_time(self, record, relative_time, now):
+        if record.samples >= record.min_samples:
             self._means.discard(record.mean_log)
         record.samples += 1
         weight = max(_ALPHA, 1.0 / record.samples)
         record.mean_log += weight * (
-            log(max(_LEAST_TIMES, times_usual)) - record.mean_log
+            log(max(_MIN_RELATIVE_TIME, relative_time)) - record.mean_log
         )
-        if record.samples < record.needed:
+        if record.samples < record.min_samples:
             return
         record.on_probation = False
         self._means.add(record.mean_log)
@@ -175,7 +175,7 @@
         # recovered, and without work it could never show that.
         self._means.discard(record.mean_log)
         record.samples = 0
-        record.needed = PROBATION_SAMPLES
+        record.min_samples = PROBATION_SAMPLES
         record.on_probation = True
         record.slow_until = now + record.eject_s
         record.eject_s = min(MAX_EJECT_S, record.eject_s * 2)
--- a/godwitlanding/decisions/placing.py
+++ b/godwitlanding/decisions/placing.py
@@ -27,19 +27,19 @@
 # many times the slots means that the count is off, and the request would be
 # shed after a trip for nothing. A fixed number would keep callers from an
 # upstream of many slots that would have served them in time.
-MAX_WAITING_TIMES = 4 / 3
+MAX_WAITING_PER_SLOT = 4 / 3
 
 # Work spreads by 15 in 100 and an expected wait by more. A request that is
 # expected to end just before its time is cut off as often as not: its slot was
 # spent for nothing, and a payment that may have run cannot be sent again,
 # where one that is refused comes back.
-UNSURE_TIMES = 1.25
+FINISH_MARGIN = 1.25
 
 # Waits of requests that will be late, in works of one request: at three
 # slots, nobody may wait before it, or one. Waiting longer, they make those
 # behind them late as well: more callers get an answer, and fewer in time.
-LATE_WAIT = 0.3
-CAME_BACK_WAIT = 0.75
+MAX_LATE_WAIT = 0.3
+MAX_RETURNING_WAIT = 0.75
 
 
 class Candidate(NamedTuple):
@@ -73,7 +73,7 @@
     return usual_s / (slots + 1) + (occupied - slots) * usual_s / slots
 
 
-def mix_work_s(warm_s, cold_s, learning, in_progress):
+def mix_work_s(warm_s, cold_s, cold_requests, in_progress):
     """Return the mean work time of the requests in progress.
 
     ``learning`` of them work on objects that are new to the upstream. Taking
@@ -81,9 +81,9 @@
     0.3 s, and the requests behind them are late without having been expected
     to be.
     """
-    if learning <= 0 or in_progress <= 0:
+    if cold_requests <= 0 or in_progress <= 0:
         return warm_s
-    return warm_s + (cold_s - warm_s) * min(1.0, learning / in_progress)
+    return warm_s + (cold_s - warm_s) * min(1.0, cold_requests / in_progress)
 
 
 def place(candidates):
@@ -94,7 +94,7 @@
     best = None
     best_cost = 0.0
     for candidate in candidates:
-        if candidate.occupied >= candidate.slots * (1.0 + MAX_WAITING_TIMES):
+        if candidate.occupied >= candidate.slots * (1.0 + MAX_WAITING_PER_SLOT):
             continue
         wait_s = estimate_wait_s(candidate.occupied, candidate.slots, candidate.usual_s)
         finish_s = candidate.distance_s + wait_s + candidate.work_s
@@ -112,7 +112,7 @@
         return False
     if placement.finish_s <= time_to_target_s:
         return True
-    if UNSURE_TIMES * placement.finish_s > time_left_s:
+    if FINISH_MARGIN * placement.finish_s > time_left_s:
         return False
-    most_wait = CAME_BACK_WAIT if came_back else LATE_WAIT
-    return placement.wait_s <= most_wait * placement.candidate.usual_s
+    max_wait = MAX_RETURNING_WAIT if came_back else MAX_LATE_WAIT
+    return placement.wait_s <= max_wait * placement.candidate.usual_s
--- a/godwitlanding/decisions/planner.py
+++ b/godwitlanding/decisions/planner.py
@@ -18,17 +18,21 @@
 
 from typing import NamedTuple
 
-from godwitlanding.decisions.allowances import get_sources, share_out, share_out_rest
+from godwitlanding.decisions.allowances import (
+    divide_headroom,
+    divide_small_headroom,
+    get_sources,
+)
+from godwitlanding.decisions.capacity import CapacityBudget
 from godwitlanding.decisions.plan import EMPTY_PLAN, Plan
-from godwitlanding.decisions.room import Room
-from godwitlanding.decisions.targets import make_base, make_targets
+from godwitlanding.decisions.targets import make_base_weights, make_targets
 
 # Below this a zone's upstreams are not warm enough to be given more.
 WARM_SHARE = 0.8
 # Smaller steps are not worth a write that goes to every process.
-LEAST_STEP = 0.001
+MIN_STEP = 0.001
 # Allowances follow the load; written only so often, and when they change.
-ALLOWANCE_S = 5.0
+ALLOWANCE_INTERVAL_S = 5.0
 
 
 class Step(NamedTuple):
@@ -49,7 +53,7 @@
         self._steer_max_age_s = steer_max_age_s
         self._started_at = now
         self._version_by_row = {}
-        self._quiet_since_by_row = {}
+        self._applied_since_by_row = {}
         self._written_at = now
         self._why = ""
 
@@ -64,30 +68,30 @@
             )
             if not same or not self.version:
                 self._version_by_row[row] = version
-                self._quiet_since_by_row.pop(row, None)
+                self._applied_since_by_row.pop(row, None)
         self.plan = plan
         self.version = version
         self._written_at = now
 
     def make_plan(self, config, now):
         """Return the next ``Plan``, or ``None`` where nothing may move."""
-        self._note_quiet(config, now)
-        room = Room(config, self._demand, now)
+        self._note_applied(config, now)
+        capacity = CapacityBudget(config, self._demand, now)
         zones = config.region_by_zone
-        missing = [zone for zone in zones if not self._demand.is_fresh(zone, now)]
-        self._reserve(config, room)
+        stale_zones = [zone for zone in zones if not self._demand.is_fresh(zone, now)]
+        self._reserve_allowances(config, capacity)
         weights = {}
         reasons = []
         moved = False
         targets = make_targets(config, self.plan.cap_by_origin_by_service)
         for row, target in sorted(targets.items()):
-            step = self._step(row, target, room, missing, config, now)
+            step = self._make_step(row, target, capacity, stale_zones, config, now)
             weights.setdefault(row[0], {})[row[1]] = step.weight_by_zone
             moved = moved or step.moved
             if step.why:
                 reasons.append(f"{row[0]} from {row[1]}: {step.why}")
         self._why = "; ".join(reasons[:5]) or "every row is where the text wants it"
-        allowances, outstanding = self._make_allowances(config, room, now)
+        allowances, outstanding = self._make_allowances(config, capacity, now)
         plan = Plan(
             weight_by_zone_by_origin_by_service=weights,
             allowance_by_zones_by_service=allowances,
@@ -95,7 +99,7 @@
             step=self.plan.step + moved,
             why=self._why,
             outstanding_by_zones_by_service=outstanding,
-            cap_by_origin_by_service=_keep_caps(weights, targets),
+            cap_by_origin_by_service=_get_active_caps(weights, targets),
         )
         return plan if self._is_worth_writing(plan, moved, now) else None
 
@@ -108,11 +112,11 @@
             "moved_by_shift": self.plan.moved_by_shift,
             "quiet_s_by_row": {
                 f"{service} from {origin}": round(now - at, 1)
-                for (service, origin), at in sorted(self._quiet_since_by_row.items())
+                for (service, origin), at in sorted(self._applied_since_by_row.items())
             },
         }
 
-    def _note_quiet(self, config, now):
+    def _note_applied(self, config, now):
         # Callers of a zone that still has the former plan would later move
         # by two steps at once: the wait begins when the last zone has it.
         held = min(
@@ -123,53 +127,55 @@
             for origin in config.region_by_zone:
                 row = (service, origin)
                 if held >= self._version_by_row.get(row, self.version):
-                    self._quiet_since_by_row.setdefault(row, now)
+                    self._applied_since_by_row.setdefault(row, now)
 
-    def _step(self, row, target, room, missing, config, now):
+    def _make_step(self, row, target, capacity, stale_zones, config, now):
         service, origin = row
         current = self.plan.get_weights(service, origin)
-        gains, total = _compare(current, target.weight_by_zone)
-        if total < LEAST_STEP:
+        gains, total = _get_gains(current, target.weight_by_zone)
+        if total < MIN_STEP:
             return Step(current, "", False)
         if target.paused:
             return Step(current, f"{target.shift} is paused", False)
-        if missing:
-            return Step(current, f"no fresh summary of {', '.join(missing)}", False)
+        if stale_zones:
+            return Step(current, f"no fresh summary of {', '.join(stale_zones)}", False)
         wait_s = target.step_s + self._steer_max_age_s
-        quiet_since = self._quiet_since_by_row.get(row)
-        if quiet_since is None or now - quiet_since < wait_s:
+        applied_since = self._applied_since_by_row.get(row)
+        if applied_since is None or now - applied_since < wait_s:
             return Step(current, "waits for callers' cached answers", False)
-        cold = [z for z in gains if not _is_warm(room.get_load(z, service))]
+        cold = [z for z in gains if not _is_warm(capacity.get_load(z, service))]
         if cold:
             return Step(current, f"{', '.join(cold)} not warm", False)
         share = min(1.0, target.cap_share / total)
-        share = min(share, self._fit(service, origin, current, gains, room))
-        if share * total < LEAST_STEP:
+        share = min(
+            share, self._get_feasible_share(service, origin, current, gains, capacity)
+        )
+        if share * total < MIN_STEP:
             return Step(current, f"no headroom in {', '.join(gains)}", False)
-        self._spend(service, origin, current, gains, share, room)
-        return Step(_move(current, target.weight_by_zone, share), "", True)
+        self._reserve_capacity(service, origin, current, gains, share, capacity)
+        return Step(_interpolate(current, target.weight_by_zone, share), "", True)
 
-    def _fit(self, service, origin, current, gains, room):
+    def _get_feasible_share(self, service, origin, current, gains, capacity):
         """Return the part of ``gains`` for which every target has room."""
-        demand = room.estimate_origin(service, origin, current)
+        demand = capacity.estimate_origin(service, origin, current)
         if demand is None:
             return 0.0
         share = 1.0
-        factors = {service: 1.0, **room.get_dependencies(service)}
+        factors = {service: 1.0, **capacity.get_dependencies(service)}
         for zone, gain in gains.items():
             for name, factor in factors.items():
                 wanted = gain * demand * factor
                 if wanted > 0:
-                    headroom = max(0.0, room.get_headroom(zone, name))
+                    headroom = max(0.0, capacity.get_headroom(zone, name))
                     share = min(share, headroom / wanted)
         return share
 
-    def _spend(self, service, origin, current, gains, share, room):
-        demand = room.estimate_origin(service, origin, current)
-        factors = {service: 1.0, **room.get_dependencies(service)}
+    def _reserve_capacity(self, service, origin, current, gains, share, capacity):
+        demand = capacity.estimate_origin(service, origin, current)
+        factors = {service: 1.0, **capacity.get_dependencies(service)}
         for zone, gain in gains.items():
             for name, factor in factors.items():
-                room.spend(zone, name, gain * share * demand * factor)
+                capacity.reserve(zone, name, gain * share * demand * factor)
 
     def _get_in_use(self, service, source, target):
         """Return the allowance that a zone may still be using."""
@@ -180,7 +186,7 @@
         reserved = self.plan.outstanding_by_zones_by_service.get(service, {})
         return max(granted.get(pair, 0), reserved.get(pair, 0))
 
-    def _list_pairs(self, config, service, target):
+    def _list_sources(self, config, service, target):
         known = set(get_sources(config, (), target))
         for granted in (
             self.plan.allowance_by_zones_by_service.get(service, {}),
@@ -189,16 +195,16 @@
             known |= {p.split(">")[0] for p in granted if p.endswith(f">{target}")}
         return sorted(known)
 
-    def _reserve(self, config, room):
+    def _reserve_allowances(self, config, capacity):
         """Keep what was granted to spill out of the reach of steps."""
         for service in config.service_by_name:
             for target in config.region_by_zone:
-                for source in self._list_pairs(config, service, target):
-                    room.spend(
+                for source in self._list_sources(config, service, target):
+                    capacity.reserve(
                         target, service, self._get_in_use(service, source, target)
                     )
 
-    def _make_allowances(self, config, room, now):
+    def _make_allowances(self, config, capacity, now):
         allowances = {}
         outstanding = {}
         for service in config.service_by_name:
@@ -207,13 +213,13 @@
             for target in config.region_by_zone:
                 in_use = {
                     source: self._get_in_use(service, source, target)
-                    for source in self._list_pairs(config, service, target)
+                    for source in self._list_sources(config, service, target)
                 }
-                headroom = room.get_headroom(target, service) + sum(in_use.values())
-                heard = {s for s in in_use if room.get_load(s, service) is not None}
-                new = share_out(headroom, in_use)
-                new = share_out_rest(headroom, in_use, new, heard)
-                if room.get_load(target, service) is None:
+                headroom = capacity.get_headroom(target, service) + sum(in_use.values())
+                heard = {s for s in in_use if capacity.get_load(s, service) is not None}
+                new = divide_headroom(headroom, in_use)
+                new = divide_small_headroom(headroom, in_use, new, heard)
+                if capacity.get_load(target, service) is None:
                     new = {source: 0 for source in in_use}
                 for source, amount in new.items():
                     pair = f"{source}>{target}"
@@ -227,7 +233,7 @@
         old = self.plan
         if moved or not self.version:
             return True
-        if now - self._written_at < ALLOWANCE_S:
+        if now - self._written_at < ALLOWANCE_INTERVAL_S:
             return False
         return (
             plan.allowance_by_zones_by_service != old.allowance_by_zones_by_service
@@ -244,7 +250,7 @@
     }
 
 
-def _compare(current, wanted):
+def _get_gains(current, wanted):
     gains = {}
     for zone, weight in wanted.items():
         gain = weight - current.get(zone, 0.0)
@@ -253,7 +259,7 @@
     return gains, sum(gains.values())
 
 
-def _move(current, wanted, share):
+def _interpolate(current, wanted, share):
     if share >= 1.0:
         return {zone: weight for zone, weight in wanted.items() if weight > 0}
     moved = {
@@ -275,19 +281,21 @@
     moved_by_shift = {}
     for shift in config.shift_by_name.values():
         row = weights.get(shift.service, {}).get(shift.from_zone, {})
-        base = make_base(config, shift.service, shift.from_zone).get(shift.to_zone, 0)
+        base = make_base_weights(config, shift.service, shift.from_zone).get(
+            shift.to_zone, 0
+        )
         share = row.get(shift.to_zone, 0.0)
         moved_by_shift[shift.name] = round(max(0.0, share - base) / (1 - base or 1), 6)
     return moved_by_shift
 
 
-def _keep_caps(weights, target_by_row):
+def _get_active_caps(weights, target_by_row):
     """Return the cap of each row that is, or is going, off its base."""
     caps = {}
     for (service, origin), target in target_by_row.items():
         row = weights[service][origin]
-        _, distance = _compare(row, target.weight_by_zone)
-        if target.shift or distance >= LEAST_STEP:
+        _, distance = _get_gains(row, target.weight_by_zone)
+        if target.shift or distance >= MIN_STEP:
             rows = caps.setdefault(service, {})
             rows[origin] = [target.cap_share, target.step_s]
     return caps
--- a/godwitlanding/decisions/poison.py
+++ b/godwitlanding/decisions/poison.py
@@ -61,7 +61,7 @@
         until = now + (STOP_KNOWN_GOOD_S if good else STOP_S)
         self._record_by_fingerprint[fingerprint] = _Record(upstreams, until, crashes)
         self._record_by_fingerprint.move_to_end(fingerprint)
-        self._bound(self._record_by_fingerprint)
+        self._evict_oldest(self._record_by_fingerprint)
         return crashes
 
     def note_success(self, fingerprint, now):
@@ -71,7 +71,7 @@
         self._record_by_fingerprint.pop(fingerprint, None)
         self._known_good[fingerprint] = now
         self._known_good.move_to_end(fingerprint)
-        self._bound(self._known_good)
+        self._evict_oldest(self._known_good)
 
     def is_stopped(self, fingerprint, now):
         """Tell whether the request must not be sent to any upstream."""
@@ -82,7 +82,7 @@
         """Tell whether it crashed an upstream and may run only alone."""
         return self._get(fingerprint, now) is not None
 
-    def get_crashed(self, fingerprint, now):
+    def get_crashed_upstreams(self, fingerprint, now):
         """Return the upstreams that the request crashed."""
         record = self._get(fingerprint, now)
         return record.upstreams if record else frozenset()
@@ -99,6 +99,6 @@
             return None
         return record
 
-    def _bound(self, entries):
+    def _evict_oldest(self, entries):
         while len(entries) > self._max_fingerprints:
             entries.popitem(last=False)
--- a/godwitlanding/decisions/queue.py
+++ b/godwitlanding/decisions/queue.py
@@ -17,7 +17,7 @@
 from godwitlanding.decisions.fairness import Tag, VirtualClock
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A request in the queue; times are on the arbiter's clock.
 
     ``start_by`` is the latest time at which a grant still helps.
@@ -71,7 +71,7 @@
         """Queue a request and return its ``Waiting``."""
         priority = self._by_priority.setdefault(ask.priority, _Priority())
         tag = priority.clock.make_tag(ask.caller, ask.request_id, cost)
-        waiting = Waiting(ask, now, start_by, is_long, cost, tag)
+        waiting = QueuedRequest(ask, now, start_by, is_long, cost, tag)
         self._insert(priority, waiting)
         return waiting
 
@@ -114,7 +114,7 @@
     def note_refused(self, waiting):
         """A request that was taken out got none: do not charge for it."""
         clock = self._by_priority[waiting.ask.priority].clock
-        clock.take_back(waiting.ask.caller, waiting.cost)
+        clock.refund(waiting.ask.caller, waiting.cost)
 
     def count_ahead(self, waiting):
         """Return how many requests are served before this one."""
--- a/godwitlanding/decisions/regionshare.py
+++ b/godwitlanding/decisions/regionshare.py
@@ -23,7 +23,7 @@
 
 import xxhash
 
-from godwitlanding.decisions.homes import REMEMBERED_OBJECTS
+from godwitlanding.decisions.homes import CACHED_OBJECTS
 
 FULL = 0.9
 # Objects that a region keeps for each of its upstreams while others have
@@ -42,7 +42,7 @@
     capacity_per_s: float
 
 
-def get_known_share(upstreams, objects, each=REMEMBERED_OBJECTS):
+def get_known_share(upstreams, objects, each=CACHED_OBJECTS):
     """Return the share of all objects that a region can keep in memory.
 
     ``each`` is how many an upstream is to remember.
--- a/godwitlanding/decisions/retry.py
+++ b/godwitlanding/decisions/retry.py
@@ -19,10 +19,10 @@
 
 from godwitlanding.base.codes import RUN_NO, RUN_UNKNOWN, Code, make_refusal
 from godwitlanding.base.messages import OUTCOME_CRASHED
-from godwitlanding.decisions.budget import RetryBudget
 from godwitlanding.decisions.poison import PoisonLedger
+from godwitlanding.decisions.retrybucket import RetryTokenBucket
 
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 
 
 class Failure(NamedTuple):
@@ -34,7 +34,7 @@
     detail: str = ""
 
 
-class Tries:
+class AttemptHistory:
     """What has been tried for one request so far."""
 
     def __init__(self):
@@ -49,7 +49,7 @@
             self.excluded_upstreams.append(upstream)
         self.may_have_run = self.may_have_run or run != RUN_NO
 
-    def qualify(self, refusal):
+    def adjust_refusal(self, refusal):
         """Return the refusal with what all tries together allow to say.
 
         The last try may truly not have run while an earlier one may have:
@@ -74,9 +74,9 @@
         retry_after_s = self.ledger.get_retry_after_s(request.fingerprint, now)
         return make_refusal(Code.POISON_REQUEST, retry_after_s)
 
-    def note_first_try(self, service, now):
+    def note_first_attempt(self, service, now):
         """Count a first try, which earns a share of a retry."""
-        self._get_budget(service).note_first_try(now)
+        self._get_budget(service).note_first_attempt(now)
 
     def note_success(self, request, now):
         """An upstream ran the request whole."""
@@ -91,7 +91,7 @@
             return 0
         return self.ledger.note_crash(request.fingerprint, upstream, now)
 
-    def decide(self, request, failure, tries, now):
+    def decide(self, request, failure, attempts, now):
         """Return ``Ok(reason)`` to try again, else ``Err(refusal)``."""
         refusal = make_refusal(failure.code, 1.0, failure.detail, failure.run)
         if not request.is_repeatable:
@@ -101,7 +101,7 @@
         poison = self.check(request, now)
         if poison:
             return Err(poison)
-        if tries.count >= MAX_TRIES:
+        if attempts.count >= MAX_ATTEMPTS:
             return Err(refusal)
         if request.deadline - now < request.service.work_s:
             return Err(refusal)
@@ -111,5 +111,5 @@
 
     def _get_budget(self, service):
         if service not in self._budget_by_service:
-            self._budget_by_service[service] = RetryBudget()
+            self._budget_by_service[service] = RetryTokenBucket()
         return self._budget_by_service[service]
--- a/godwitlanding/decisions/budget.py
+++ b/godwitlanding/decisions/retrybucket.py
@@ -18,7 +18,7 @@
 BURST_RETRIES = 10.0
 
 
-class RetryBudget:
+class RetryTokenBucket:
     """A token bucket filled by first tries and, slowly, by time.
 
     >>> budget = RetryBudget()
@@ -34,7 +34,7 @@
         self._tokens = burst
         self._filled_at = None
 
-    def note_first_try(self, now):
+    def note_first_attempt(self, now):
         """Count a request that is dispatched for the first time."""
         self._fill(now, self._share)
 
--- a/godwitlanding/decisions/retrybudget.py
+++ b/godwitlanding/decisions/retrybudget.py
@@ -25,10 +25,10 @@
 class _Window:
     def __init__(self):
         self.requests = deque()
-        self.repeats = deque()
+        self.retries = deque()
 
     def trim(self, before):
-        for times in (self.requests, self.repeats):
+        for times in (self.requests, self.retries):
             while times and times[0] < before:
                 times.popleft()
 
@@ -48,20 +48,20 @@
 
     def note_request(self, service, now):
         """Count the first arrival of a caller's request."""
-        self._get(service, now).requests.append(now)
+        self._get_window(service, now).requests.append(now)
 
     def take(self, service, vms, now):
         """Tell whether one more repeat fits, and count it if it does."""
-        window = self._get(service, now)
+        window = self._get_window(service, now)
         slack = self._slack / max(MIN_SHARES, vms)
         allowed = USED_RATIO_SHARE * self._ratio * len(window.requests)
         allowed += USED_SLACK_SHARE * slack
-        if len(window.repeats) + 1 > allowed:
+        if len(window.retries) + 1 > allowed:
             return False
-        window.repeats.append(now)
+        window.retries.append(now)
         return True
 
-    def _get(self, service, now):
+    def _get_window(self, service, now):
         window = self._window_by_service.get(service)
         if window is None:
             window = self._window_by_service[service] = _Window()
--- a/godwitlanding/decisions/shiftguard.py
+++ b/godwitlanding/decisions/shiftguard.py
@@ -16,7 +16,7 @@
 # Users allow 0.15 from one span of 2 s to the next. The plan moves 0.08 in
 # that time, and what it moves counts here as well.
 WINDOW_S = 2.0
-STEP = 0.06
+MAX_SHARE_INCREASE = 0.06
 # A VM with thirty requests a second sees sixty in a window, dealt by chance.
 SLACK = 2
 
@@ -31,20 +31,20 @@
 
     def note(self, region, now):
         """A request runs in ``region``."""
-        self._turn(now)
+        self._roll_window(now)
         self._counts[region] += 1
 
     def may_change(self, region, now):
         """Tell whether one more request may be sent to another region."""
-        self._turn(now)
+        self._roll_window(now)
         former = self._former.total()
         if not former:
             # Nobody was served before, so nobody changes.
             return True
-        share = self._former[region] / former + STEP
+        share = self._former[region] / former + MAX_SHARE_INCREASE
         return self._counts[region] + 1 <= share * (self._counts.total() + 1) + SLACK
 
-    def _turn(self, now):
+    def _roll_window(self, now):
         elapsed_s = now - self._begun_at
         if elapsed_s < WINDOW_S:
             return
--- a/godwitlanding/decisions/spill.py
+++ b/godwitlanding/decisions/spill.py
@@ -16,7 +16,7 @@
 BURST_S = 1.0
 
 
-class LinkMeter:
+class LinkLimiter:
     """Token buckets for one link; a limit of 0 bytes a second is none.
 
     Bytes are known only when they have passed, so they are charged after
@@ -28,7 +28,7 @@
         self.requests_per_s = requests_per_s
         self.bytes_per_s = bytes_per_s
         self._burst_s = burst_s
-        self._requests = self._get_most_requests()
+        self._requests = self._get_max_requests()
         self._bytes = bytes_per_s * burst_s
         self._filled_at = None
 
@@ -60,14 +60,16 @@
     def _lacks_bytes(self):
         return self.bytes_per_s > 0 and self._bytes < 0
 
-    def _get_most_requests(self):
+    def _get_max_requests(self):
         return max(1.0, self.requests_per_s * self._burst_s) * (self.requests_per_s > 0)
 
     def _fill(self, now):
         elapsed_s = 0.0 if self._filled_at is None else max(0.0, now - self._filled_at)
         self._filled_at = now
-        most = self._get_most_requests()
-        self._requests = min(most, self._requests + elapsed_s * self.requests_per_s)
+        max_requests = self._get_max_requests()
+        self._requests = min(
+            max_requests, self._requests + elapsed_s * self.requests_per_s
+        )
         full = self.bytes_per_s * self._burst_s
         self._bytes = min(full, self._bytes + elapsed_s * self.bytes_per_s)
 
@@ -85,15 +87,15 @@
         self._allowance_by_zone = {}
         self._open_by_zone = {}
         self._zone_by_request = {}
-        self._meter_by_zone = {}
+        self._limiter_by_zone = {}
 
     def set_allowances(self, allowance_by_zone):
         """Take the plan's allowances, in the plan's order of preference."""
         self._allowance_by_zone = dict(allowance_by_zone)
 
-    def set_meter(self, availability_zone, meter):
+    def set_link_limiter(self, availability_zone, limiter):
         """Hold spill to a zone within the limits of its link."""
-        self._meter_by_zone[availability_zone] = meter
+        self._limiter_by_zone[availability_zone] = limiter
 
     def take(self, request_id, now):
         """Return a zone with room for the request, or ``None``."""
@@ -101,8 +103,8 @@
         for zone, allowance in self._allowance_by_zone.items():
             if self._open_by_zone.get(zone, 0) >= int(allowance):
                 continue
-            meter = self._meter_by_zone.get(zone)
-            if meter and not meter.may_send(now):
+            limiter = self._limiter_by_zone.get(zone)
+            if limiter and not limiter.may_send(now):
                 continue
             self._open_by_zone[zone] = self._open_by_zone.get(zone, 0) + 1
             self._zone_by_request[request_id] = zone
--- a/godwitlanding/decisions/targets.py
+++ b/godwitlanding/decisions/targets.py
@@ -13,7 +13,7 @@
 DEFAULT_STEP_S = 5.0
 
 
-class Target(NamedTuple):
+class WeightTarget(NamedTuple):
     """A row to reach, and how fast it may be approached."""
 
     weight_by_zone: dict
@@ -23,7 +23,7 @@
     paused: bool = False
 
 
-def find_zones(config, service):
+def find_serving_zones(config, service):
     """Return the zones that may serve a service, with their slots."""
     slots_by_zone = {}
     for upstream in config.service_by_name[service].upstream_by_id.values():
@@ -36,12 +36,12 @@
     }
 
 
-def make_base(config, service, origin):
+def make_base_weights(config, service, origin):
     """Return an origin's row without any shift: itself, else the nearest."""
-    return _make_row(config, origin, find_zones(config, service))
+    return _make_base_weights(config, origin, find_serving_zones(config, service))
 
 
-def _make_row(config, origin, slots_by_zone):
+def _make_base_weights(config, origin, slots_by_zone):
     if origin in slots_by_zone:
         return {origin: 1.0}
     region = config.region_by_zone.get(origin)
@@ -63,32 +63,34 @@
         kept = cap_by_origin_by_service.get(service, {})
         # Once for all origins: found anew for each, the zones of thousands of
         # upstreams would hold up heartbeats.
-        slots_by_zone = find_zones(config, service)
+        slots_by_zone = find_serving_zones(config, service)
         upstreams = config.service_by_name[service].upstream_by_id.values()
-        homes = {upstream.availability_zone for upstream in upstreams}
+        upstream_zones = {upstream.availability_zone for upstream in upstreams}
         for origin in config.region_by_zone:
-            base = _make_row(config, origin, slots_by_zone)
+            base = _make_base_weights(config, origin, slots_by_zone)
             if not base:
                 continue
             shift = shift_by_row.get((service, origin))
             if shift:
-                target = _apply(shift, base, slots_by_zone)
-            elif origin not in homes:
+                target = _apply_shift(shift, base, slots_by_zone)
+            elif origin not in upstream_zones:
                 # Nothing serves these callers where they are: only headroom
                 # bounds the move.
-                target = Target(base, 1.0, DEFAULT_STEP_S)
+                target = WeightTarget(base, 1.0, DEFAULT_STEP_S)
             else:
                 cap_share, step_s = kept.get(
                     origin, (DEFAULT_CAP_SHARE, DEFAULT_STEP_S)
                 )
-                target = Target(base, cap_share, step_s)
+                target = WeightTarget(base, cap_share, step_s)
             target_by_row[service, origin] = target
     return target_by_row
 
 
-def _apply(shift, base, zones):
+def _apply_shift(shift, base, zones):
     weights = dict(base)
     if shift.to_zone in zones:
         weights = {zone: (1 - shift.share) * w for zone, w in base.items()}
         weights[shift.to_zone] = weights.get(shift.to_zone, 0.0) + shift.share
-    return Target(weights, shift.cap_share, shift.step_s, shift.name, shift.paused)
+    return WeightTarget(
+        weights, shift.cap_share, shift.step_s, shift.name, shift.paused
+    )
--- a/godwitlanding/decisions/warmup.py
+++ b/godwitlanding/decisions/warmup.py
@@ -24,10 +24,10 @@
 
 WARM_SAMPLES = 10
 WARM_TIMES = 1.5
-_LEAST_TIMES = 1e-5
+_MIN_RELATIVE_TIME = 1e-5
 
 
-class _Cold(NamedTuple):
+class _WarmupState(NamedTuple):
     since: float
     samples: int = 0
     log_sum: float = 0.0
@@ -38,34 +38,34 @@
 
     def __init__(self, slow_start_s):
         self.slow_start_s = slow_start_s
-        self._cold_by_upstream = {}
+        self._state_by_upstream = {}
 
     def note_cold(self, upstream_id, now):
         """The upstream has just begun, or crashed and come back."""
         if self.slow_start_s > 0:
-            self._cold_by_upstream[upstream_id] = _Cold(now)
+            self._state_by_upstream[upstream_id] = _WarmupState(now)
 
     def note_warm(self, upstream_id):
         """The upstream's own word, or the end of its warm-up."""
-        self._cold_by_upstream.pop(upstream_id, None)
+        self._state_by_upstream.pop(upstream_id, None)
 
-    def note_work(self, upstream_id, times_usual):
+    def note_work(self, upstream_id, relative_time):
         """A request took that many times what such requests usually take."""
-        cold = self._cold_by_upstream.get(upstream_id)
+        cold = self._state_by_upstream.get(upstream_id)
         if cold is None:
             return
-        log_sum = cold.log_sum + log(max(_LEAST_TIMES, times_usual))
-        cold = _Cold(cold.since, cold.samples + 1, log_sum)
+        log_sum = cold.log_sum + log(max(_MIN_RELATIVE_TIME, relative_time))
+        cold = _WarmupState(cold.since, cold.samples + 1, log_sum)
         if cold.samples == WARM_SAMPLES:
             if log_sum <= WARM_SAMPLES * log(WARM_TIMES):
                 self.note_warm(upstream_id)
                 return
-            cold = _Cold(cold.since)
-        self._cold_by_upstream[upstream_id] = cold
+            cold = _WarmupState(cold.since)
+        self._state_by_upstream[upstream_id] = cold
 
     def get_share(self, upstream_id, now):
         """Return how warm the upstream is, from 0 to 1."""
-        cold = self._cold_by_upstream.get(upstream_id)
+        cold = self._state_by_upstream.get(upstream_id)
         if cold is None:
             return 1.0
         share = (now - cold.since) / self.slow_start_s
@@ -80,7 +80,7 @@
 
     def get_next_time(self, upstream_id, slots, now):
         """Return when the next slot opens, or ``None`` when all are."""
-        cold = self._cold_by_upstream.get(upstream_id)
+        cold = self._state_by_upstream.get(upstream_id)
         usable = self.get_slots(upstream_id, slots, now)
         if cold is None or usable >= slots:
             return None
--- a/godwitlanding/decisions/worktime.py
+++ b/godwitlanding/decisions/worktime.py
@@ -32,8 +32,8 @@
 FAILING_SHARE = 0.5
 OUTLIER_MARGIN = 0.25
 # Before the first answer: the usual work of both users lies near these.
-FIRST_WARM_S = 0.15
-FIRST_COLD_S = 0.4
+INITIAL_WARM_S = 0.15
+INITIAL_COLD_S = 0.4
 # An upstream this many times slower than usual takes longer for an object
 # that it knows than others for one that they do not.
 SLOW_FACTOR = 2.5
@@ -70,13 +70,13 @@
 
     def note_answer(self, service, upstream, work_s, warmth, waited):
         """Take the time of an answer; ``waited``: it queued for a slot."""
-        self._move_failures(service, upstream, 0.0)
+        self._update_failures(service, upstream, 0.0)
         if warmth is Warmth.UNSURE:
             middle = (self.get_warm_s(service) + self.get_cold_s(service)) / 2
             warmth = Warmth.COLD if work_s > middle else Warmth.WARM
-        elif not waited and self._tells_speed(service, warmth):
-            self._move_factor(service, upstream, work_s, warmth)
-        self._move_shares(service, warmth)
+        elif not waited and self._measures_speed(service, warmth):
+            self._update_factor(service, upstream, work_s, warmth)
+        self._update_shares(service, warmth)
         key = (service, warmth)
         held = self._mean_by_service.get(key)
         if held is None:
@@ -87,20 +87,20 @@
 
     def note_failure(self, service, upstream):
         """The upstream failed a request, shed it or did not answer."""
-        self._move_failures(service, upstream, 1.0)
+        self._update_failures(service, upstream, 1.0)
 
     def get_warm_s(self, service):
         """Return the work time of a service on objects that are known."""
-        return self._mean_by_service.get((service, Warmth.WARM), FIRST_WARM_S)
+        return self._mean_by_service.get((service, Warmth.WARM), INITIAL_WARM_S)
 
     def get_cold_s(self, service):
         """Return the work time on objects that are not, never below warm."""
-        held = self._mean_by_service.get((service, Warmth.COLD), FIRST_COLD_S)
+        held = self._mean_by_service.get((service, Warmth.COLD), INITIAL_COLD_S)
         return max(held, self.get_warm_s(service))
 
     def get_objectless_s(self, service):
         """Return the work time of requests about no object."""
-        return self._mean_by_service.get((service, Warmth.NO_OBJECT), FIRST_COLD_S)
+        return self._mean_by_service.get((service, Warmth.NO_OBJECT), INITIAL_COLD_S)
 
     def get_mean_s(self, service):
         """Return the mean work time of what is answered now.
@@ -126,7 +126,7 @@
         """Return the share of an upstream's recent requests that failed."""
         return self._failures_by_upstream.get(upstream, 0.0)
 
-    def stands_out(self, service, upstream):
+    def is_failure_outlier(self, service, upstream):
         """Tell whether an upstream fails more often than its service does."""
         usual = self._failures_by_service.get(service, 0.0)
         return self.get_failure_share(upstream) > usual + OUTLIER_MARGIN
@@ -135,7 +135,7 @@
         """Tell whether others should be preferred to the upstream."""
         if self.get_failure_share(upstream) < FAILING_SHARE:
             return False
-        return self.stands_out(service, upstream)
+        return self.is_failure_outlier(service, upstream)
 
     def recover(self):
         """Let factors and failure shares fade, so that each is tried again.
@@ -154,39 +154,39 @@
         self._factor_by_upstream.pop(upstream, None)
         self._failures_by_upstream.pop(upstream, None)
 
-    def _tells_speed(self, service, warmth):
+    def _measures_speed(self, service, warmth):
         # Where requests about objects come as well, those about none are
         # light: their time tells more of the network than of the upstream.
         if warmth is not Warmth.NO_OBJECT:
             return True
         return service not in self._cold_share_by_service
 
-    def _move_factor(self, service, upstream, work_s, warmth):
+    def _update_factor(self, service, upstream, work_s, warmth):
         usual = self.get_warm_s(service)
         if warmth is Warmth.COLD:
             usual = self.get_cold_s(service)
         elif warmth is Warmth.NO_OBJECT:
             usual = self.get_objectless_s(service)
-        seen = min(_MAX_FACTOR, max(_MIN_FACTOR, work_s / max(usual, 0.001)))
+        observed = min(_MAX_FACTOR, max(_MIN_FACTOR, work_s / max(usual, 0.001)))
         held = self.get_factor(upstream)
-        self._factor_by_upstream[upstream] = held + _UPSTREAM_WEIGHT * (seen - held)
+        self._factor_by_upstream[upstream] = held + _UPSTREAM_WEIGHT * (observed - held)
 
-    def _move_shares(self, service, warmth):
+    def _update_shares(self, service, warmth):
         is_objectless = warmth is Warmth.NO_OBJECT
-        _move_share(self._objectless_share_by_service, service, is_objectless)
+        _update_share(self._objectless_share_by_service, service, is_objectless)
         if not is_objectless:
             is_cold = warmth is Warmth.COLD
-            _move_share(self._cold_share_by_service, service, is_cold)
+            _update_share(self._cold_share_by_service, service, is_cold)
 
-    def _move_failures(self, service, upstream, seen):
+    def _update_failures(self, service, upstream, observed):
         share = self._failures_by_upstream.get(upstream, 0.0)
-        share += _FAILURE_WEIGHT * (seen - share)
+        share += _FAILURE_WEIGHT * (observed - share)
         self._failures_by_upstream[upstream] = share
         usual = self._failures_by_service.get(service, 0.0)
-        usual += _SERVICE_FAILURE_WEIGHT * (seen - usual)
+        usual += _SERVICE_FAILURE_WEIGHT * (observed - usual)
         self._failures_by_service[service] = usual
 
 
-def _move_share(share_by_service, service, seen):
+def _update_share(share_by_service, service, observed):
     held = share_by_service.get(service, 0.0)
-    share_by_service[service] = held + _SHARE_WEIGHT * (seen - held)
+    share_by_service[service] = held + _SHARE_WEIGHT * (observed - held)
--- a/godwitlanding/gateway/bulletin.py
+++ b/godwitlanding/gateway/bulletin.py
@@ -10,7 +10,7 @@
 
 from godwitlanding.decisions.digest import Crash, Digest
 from godwitlanding.decisions.fleet import Capacity
-from godwitlanding.decisions.objectmap import Meeting
+from godwitlanding.decisions.objectmap import CacheEntry
 from godwitlanding.decisions.ratelimit import LimitedUpstream, LimitRow
 from godwitlanding.decisions.tally import Asked, Level, Tally
 
@@ -59,7 +59,7 @@
     failed: bool
     changed_at: tuple[int, ...]
     # Which upstreams got which objects, as the VM saw lately.
-    met: tuple[Meeting, ...] = ()
+    met: tuple[CacheEntry, ...] = ()
     # What the VM has had of workspaces, and how many VMs of its region it
     # hears, itself included.
     tallies: tuple[Tally, ...] = ()
@@ -137,7 +137,7 @@
 
 
 def _read_met(data):
-    return tuple(Meeting(*pair) for pair in _PAIR.iter_unpack(data))
+    return tuple(CacheEntry(*pair) for pair in _PAIR.iter_unpack(data))
 
 
 def _make_rates(rate_by_service):
--- a/godwitlanding/gateway/candidates.py
+++ b/godwitlanding/gateway/candidates.py
@@ -182,7 +182,7 @@
             objects = self._object_map.count_known(upstream_number)
             objects = min(objects, self._learning.get_remembered(service))
             places = number + PLACES_EACH_OBJECT * objects
-        learning = self._object_map.count_met_since(upstream_number, now - cold_s)
+        learning = self._object_map.count_added_since(upstream_number, now - cold_s)
         return Candidate(
             upstream=upstream_id,
             slots=upstream.slots,
--- a/godwitlanding/gateway/chooser.py
+++ b/godwitlanding/gateway/chooser.py
@@ -161,7 +161,7 @@
         Where a service sheds requests at random, the upstream that knows
         the object is still the best one; one that is full sheds again.
         """
-        if self._worktimes.stands_out(service, upstream.id):
+        if self._worktimes.is_failure_outlier(service, upstream.id):
             return False
         return self._occupancy.get(upstream.id, now) < upstream.slots
 
--- a/godwitlanding/gateway/learning.py
+++ b/godwitlanding/gateway/learning.py
@@ -1,7 +1,7 @@
 """Joins what answers tell of upstreams: work times, objects, memory."""
 
-from godwitlanding.decisions.memorysize import MemorySize
-from godwitlanding.decisions.objectmap import Meeting, get_object_number
+from godwitlanding.decisions.cachesize import CacheSizeEstimate
+from godwitlanding.decisions.objectmap import CacheEntry, get_object_number
 from godwitlanding.decisions.worktime import Warmth
 
 # Work times tell whether an upstream knew an object where both differ this
@@ -18,7 +18,7 @@
         self._peers = peers
         self._worktimes = worktimes
         self._object_map = object_map
-        self._memory = MemorySize()
+        self._memory = CacheSizeEstimate()
 
     def get_remembered(self, service):
         """Return how many objects an upstream of a service remembers."""
@@ -32,10 +32,10 @@
         """
         if not work.key:
             return Warmth.NO_OBJECT, None
-        meeting = self._make_meeting(work, upstream_id)
-        held = self._object_map.get_depth(*meeting)
-        depth = held if self._object_map.has_answered(meeting) else None
-        self._peers.note_meeting(meeting)
+        cache_entry = self._make_meeting(work, upstream_id)
+        held = self._object_map.get_depth(*cache_entry)
+        depth = held if self._object_map.has_answered(cache_entry) else None
+        self._peers.note_meeting(cache_entry)
         if held is None:
             # Nobody has sent it there. Judged by its time alone, a fast first
             # run would count as known, and where all are fast, or were slow
@@ -61,8 +61,8 @@
             work.service, choice.upstream.id, work_s, choice.warmth, waited
         )
         if work.key and self._is_listed(choice):
-            meeting = self._make_meeting(work, choice.upstream.id)
-            self._object_map.note_answer(meeting)
+            cache_entry = self._make_meeting(work, choice.upstream.id)
+            self._object_map.note_answer(cache_entry)
 
     def forget(self, upstream_id):
         """Drop what is held of an upstream that is gone or new again."""
@@ -103,4 +103,4 @@
 
     def _make_meeting(self, work, upstream_id):
         number = self._registry.number_by_id[upstream_id]
-        return Meeting(number, get_object_number(work.service, work.key))
+        return CacheEntry(number, get_object_number(work.service, work.key))
--- a/godwitlanding/gateway/objectnews.py
+++ b/godwitlanding/gateway/objectnews.py
@@ -22,20 +22,20 @@
         self._seen_at_by_own = OrderedDict()
         self._seen_at = OrderedDict()
 
-    def note(self, meeting):
+    def note(self, cache_entry):
         """An upstream is sent an object; the peers may not know."""
         now = _now()
-        if self._object_map.note(meeting, now):
-            self._seen_at_by_own[meeting] = now
-            self._seen_at_by_own.move_to_end(meeting)
-            self._keep(meeting, now)
+        if self._object_map.note(cache_entry, now):
+            self._seen_at_by_own[cache_entry] = now
+            self._seen_at_by_own.move_to_end(cache_entry)
+            self._keep(cache_entry, now)
 
-    def hear(self, meeting, is_near):
+    def hear(self, cache_entry, is_near):
         """A peer says so; what neighbours say is told to other regions."""
         now = _now()
-        self._object_map.hear(meeting, now)
+        self._object_map.hear(cache_entry, now)
         if is_near:
-            self._keep(meeting, now)
+            self._keep(cache_entry, now)
 
     def get_newest(self):
         """Return what the region is told."""
@@ -47,11 +47,11 @@
 
     def get_all(self):
         """Return what a VM that has just started is told."""
-        return self._object_map.get_meetings(MAX_ALL)
+        return self._object_map.get_cache_entries(MAX_ALL)
 
-    def _keep(self, meeting, now):
-        self._seen_at[meeting] = now
-        self._seen_at.move_to_end(meeting)
+    def _keep(self, cache_entry, now):
+        self._seen_at[cache_entry] = now
+        self._seen_at.move_to_end(cache_entry)
         if len(self._seen_at) > MAX_ALL:
             self._seen_at.popitem(last=False)
 
--- a/godwitlanding/gateway/peers.py
+++ b/godwitlanding/gateway/peers.py
@@ -123,9 +123,9 @@
         """Count a caller's request for a service."""
         self._arrivals.note(service)
 
-    def note_meeting(self, meeting):
+    def note_meeting(self, cache_entry):
         """An upstream is sent an object; the peers may not know."""
-        self._object_news.note(meeting)
+        self._object_news.note(cache_entry)
 
     def note_crash(self, crash):
         """Tell the peers that a request was running on a crashed upstream."""
@@ -180,8 +180,8 @@
         self._take_digests(bulletin, host, is_near, now)
         for crash in bulletin.crashes:
             self._on_crash(crash)
-        for meeting in bulletin.met:
-            self._object_news.hear(meeting, is_near)
+        for cache_entry in bulletin.met:
+            self._object_news.hear(cache_entry, is_near)
         is_new = known is None or known.incarnation != bulletin.incarnation
         if is_new and is_near:
             log_message("peers:heard", peer=bulletin.vm)
@@ -210,8 +210,8 @@
             self._take_leaving(digest.leaving_upstreams, bulletin.vm)
             for crash in digest.crashes:
                 self._on_crash(crash)
-            for meeting in digest.met:
-                self._object_news.hear(meeting, False)
+            for cache_entry in digest.met:
+                self._object_news.hear(cache_entry, False)
         if bulletin.digests and not is_near:
             self._neighbours.note_teller(bulletin.region, host)
 
--- a/godwitlanding/gateway/savedmap.py
+++ b/godwitlanding/gateway/savedmap.py
@@ -21,7 +21,7 @@
 from godwitlanding.base.codes import Code
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.tasks import start_task
-from godwitlanding.decisions.objectmap import Meeting
+from godwitlanding.decisions.objectmap import CacheEntry
 
 # Objects are learnt within seconds of a start, and few after that.
 SAVE_PAUSE_S = 4.0
@@ -32,7 +32,7 @@
 
 def encode_meetings(meetings):
     """Return meetings as an object's value."""
-    data = b"".join(_PAIR.pack(*meeting) for meeting in meetings)
+    data = b"".join(_PAIR.pack(*cache_entry) for cache_entry in meetings)
     return orjson.dumps({"met": base64.b64encode(data).decode()})
 
 
@@ -44,7 +44,7 @@
     text = orjson.loads(value)["met"]
     try:
         data = base64.b64decode(text, validate=True)
-        return [Meeting(*pair) for pair in _PAIR.iter_unpack(data)]
+        return [CacheEntry(*pair) for pair in _PAIR.iter_unpack(data)]
     except (binascii.Error, struct.error) as error:
         raise ValueError(f"no meetings: {error}") from None
 
@@ -107,8 +107,8 @@
         for stored in answer.unwrap().objects:
             if stored.name == self._region:
                 self._version = stored.version
-            for meeting in self._decode(stored):
-                self._object_map.hear(meeting, now)
+            for cache_entry in self._decode(stored):
+                self._object_map.hear(cache_entry, now)
                 count += 1
         log_message("savedmap:read", meetings=count)
 
@@ -127,9 +127,9 @@
 
     async def _save(self):
         meetings = [
-            meeting
-            for meeting in self._object_map.get_meetings(MAX_MEETINGS)
-            if self._is_near(meeting.upstream)
+            cache_entry
+            for cache_entry in self._object_map.get_cache_entries(MAX_MEETINGS)
+            if self._is_near(cache_entry.upstream)
         ]
         if frozenset(meetings) == self._saved:
             return
--- a/godwitlanding/tests/benchmarks/bench_ways.py
+++ b/godwitlanding/tests/benchmarks/bench_ways.py
@@ -17,7 +17,7 @@
 from unittest.mock import patch
 
 from godwitlanding.daemons import intake, pool
-from godwitlanding.decisions import admission, fairness, outlier, reserve, warmup
+from godwitlanding.decisions import admission, fairness, longjobs, outlier, warmup
 from godwitlanding.tests.benchmarks.bench_decisions import run_design
 from godwitlanding.tests.load.load_designs import StaticShares
 from godwitlanding.tests.load.load_patterns import WORKLOADS, make_patterns
@@ -104,7 +104,7 @@
         "share of long jobs",
         (0.34, 0.5, 0.75, 0.9, 1.0),
         ("long among short",),
-        _change_constant(reserve, "LONG_SHARE"),
+        _change_constant(longjobs, "LONG_SHARE"),
     ),
     Way(
         "burst of a caller",
--- a/godwitlanding/tests/decisions/test_allowances.py
+++ b/godwitlanding/tests/decisions/test_allowances.py
@@ -3,7 +3,7 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from godwitlanding.decisions.allowances import share_out, share_out_rest
+from godwitlanding.decisions.allowances import divide_headroom, divide_small_headroom
 
 
 @pytest.mark.parametrize(
@@ -18,7 +18,7 @@
     ],
 )
 def test_allowances_leave_room_for_those_still_in_use(headroom, in_use, expected):
-    assert share_out(headroom, in_use) == expected
+    assert divide_headroom(headroom, in_use) == expected
 
 
 @pytest.mark.parametrize(
@@ -38,9 +38,9 @@
     With every share rounded down nobody could pass anything on: callers
     were refused while slots next door stood idle.
     """
-    shared = share_out(headroom, in_use)
+    shared = divide_headroom(headroom, in_use)
     heard = set(in_use) - {"silent"}
-    assert share_out_rest(headroom, in_use, shared, heard) == expected
+    assert divide_small_headroom(headroom, in_use, shared, heard) == expected
 
 
 @given(
@@ -49,8 +49,8 @@
 )
 @settings(derandomize=True, max_examples=200, deadline=None)
 def test_allowances_never_sum_past_headroom(headroom, in_use):
-    new = share_out(headroom, in_use)
-    new = share_out_rest(headroom, in_use, new, set(in_use))
+    new = divide_headroom(headroom, in_use)
+    new = divide_small_headroom(headroom, in_use, new, set(in_use))
     in_force = sum(max(new[zone], in_use[zone]) for zone in in_use)
     assert in_force <= max(headroom, sum(in_use.values()), 0)
     assert sum(new.values()) <= max(0.0, headroom) or new == in_use
--- a/godwitlanding/tests/decisions/test_decisions.py
+++ b/godwitlanding/tests/decisions/test_decisions.py
@@ -17,11 +17,13 @@
 from godwitlanding.tests.load.load_pooled import Pooled
 from godwitlanding.tests.load.load_report import summarise
 
-both = pytest.mark.parametrize("workload", [LEGITKA, ARMOR], ids=lambda w: w.name)
+both_workloads = pytest.mark.parametrize(
+    "workload", [LEGITKA, ARMOR], ids=lambda w: w.name
+)
 
 
 @cache
-def receive(workload, name, design=Pooled, seed=1):
+def run_pattern(workload, name, design=Pooled, seed=1):
     """Run a design under a pattern and return what callers received."""
     pattern = make_patterns(workload)[name]
     return summarise(run_design(design, workload, pattern, seed), pattern)
@@ -30,19 +32,19 @@
 def measure_wait(workload, design):
     """Return p99 of the waiting time at usual load, the mean of five runs."""
     seeds = range(1, 6)
-    runs = [receive(workload, "steady 70%", design, seed) for seed in seeds]
+    runs = [run_pattern(workload, "steady 70%", design, seed) for seed in seeds]
     return fmean(run.wait_p99_s for run in runs)
 
 
 @pytest.mark.parametrize("times", [1.2, 2, 5])
-@both
+@both_workloads
 def test_overload_leaves_the_slots_useful(workload, times):
     """More arrives than the slots can serve, for twenty seconds.
 
     Where the queue takes everything, slots work on requests whose callers
     have left, and the callers see the service as down though it is busy.
     """
-    summary = receive(workload, f"overload {times}x")
+    summary = run_pattern(workload, f"overload {times}x")
     assert summary.goodput >= 0.97
     assert summary.on_time >= 0.99
     assert summary.most_assigned <= 3
@@ -50,54 +52,54 @@
     assert summary.told_p50_s <= 0.01
 
 
-@both
+@both_workloads
 def test_refusals_come_at_once(workload):
     """Twice as much arrives as the slots can serve.
 
     A caller that is held back and then refused has lost its time twice.
     """
-    summary = receive(workload, "overload 2x")
+    summary = run_pattern(workload, "overload 2x")
     assert summary.told_p99_s <= 0.01
 
 
 @pytest.mark.parametrize("design", [StaticShares, RoundRobin, Fifo])
 def test_naive_designs_lose_the_slots_in_overload(design):
     """The same overload without early refusal: work is done for nobody."""
-    assert receive(LEGITKA, "overload 2x", design).goodput < 0.6
+    assert run_pattern(LEGITKA, "overload 2x", design).goodput < 0.6
 
 
-@both
+@both_workloads
 def test_burst_is_over_when_it_ends(workload):
     """Callers arrive at five times the usual rate for ten seconds.
 
     A backlog that outlives the burst keeps callers waiting after it.
     """
-    summary = receive(workload, "burst 5x 10 s")
+    summary = run_pattern(workload, "burst 5x 10 s")
     assert summary.goodput >= 0.97
     assert summary.recovery_s <= 5
 
 
-@both
+@both_workloads
 def test_pooled_queue_halves_the_waiting(workload):
     """At usual load a request waits at one VM while another has a slot.
 
     Callers notice it as the slowest answers; one queue has no such waiting.
     """
-    pooled = receive(workload, "steady 70%")
+    pooled = run_pattern(workload, "steady 70%")
     assert pooled.good == pooled.offered - pooled.refused
     assert pooled.refused <= 0.001 * pooled.offered
     static_s = measure_wait(workload, StaticShares)
     assert measure_wait(workload, Pooled) <= 0.5 * static_s
 
 
-@both
+@both_workloads
 def test_hot_caller_waits_behind_itself(workload):
     """One caller's script sends ten times what each of the others sends.
 
     Served in the order of arrival, everybody else waits behind it.
     """
-    usual = receive(workload, "steady 70%")
-    hot = receive(workload, "hot caller 10x")
+    usual = run_pattern(workload, "steady 70%")
+    hot = run_pattern(workload, "hot caller 10x")
     assert hot.others_p99_s <= 1.2 * usual.p99_s
     assert hot.others_good >= 0.995
 
@@ -108,8 +110,8 @@
     Where a key has an upstream of its own, that one is overloaded while the
     others idle, and its callers are not answered in time.
     """
-    assert receive(LEGITKA, "hot key").others_good == 1.0
-    assert receive(LEGITKA, "hot key", HashByKey).others_good < 0.9
+    assert run_pattern(LEGITKA, "hot key").others_good == 1.0
+    assert run_pattern(LEGITKA, "hot key", HashByKey).others_good < 0.9
 
 
 def test_slow_upstream_is_used_last():
@@ -118,21 +120,21 @@
     A quarter of the callers would wait ten times as long, and its slots
     would hold the queue up.
     """
-    slow = receive(LEGITKA, "slow upstream 10x")
+    slow = run_pattern(LEGITKA, "slow upstream 10x")
     assert slow.others_good >= 0.999
     assert slow.p99_s <= 0.35
-    assert receive(LEGITKA, "slow upstream 10x", StaticShares).p99_s > 0.6
+    assert run_pattern(LEGITKA, "slow upstream 10x", StaticShares).p99_s > 0.6
 
 
-@both
+@both_workloads
 def test_long_jobs_leave_slots_for_short_ones(workload):
     """One request in ten is a bundle that takes forty times as long.
 
     Bundles gather in the slots; when they hold all of them, a crew that
     wants a single sheet waits for a bundle to end.
     """
-    chosen = receive(workload, "long among short")
-    fifo = receive(workload, "long among short", Fifo)
+    chosen = run_pattern(workload, "long among short")
+    fifo = run_pattern(workload, "long among short", Fifo)
     assert chosen.wait_p99_s <= 0.25 * fifo.wait_p99_s
     assert chosen.others_good >= 0.999
 
@@ -147,7 +149,7 @@
     Each of the first requests takes several times as long, so the zone has
     less to give than its slots suggest, and callers wait for seconds.
     """
-    summary = receive(LEGITKA, name)
+    summary = run_pattern(LEGITKA, name)
     assert summary.others_good >= good
     assert summary.p99_s <= p99_s
 
@@ -158,8 +160,8 @@
     A design that goes by them sends everything to whichever upstream was
     idle in the last report; its callers time out.
     """
-    assert receive(LEGITKA, "reports stop").others_good == 1.0
-    assert receive(LEGITKA, "reports stop", LeastLoaded).others_good < 0.5
+    assert run_pattern(LEGITKA, "reports stop").others_good == 1.0
+    assert run_pattern(LEGITKA, "reports stop", LeastLoaded).others_good < 0.5
 
 
 def test_retrying_callers_do_not_keep_the_system_down():
@@ -168,41 +170,41 @@
     After a short overload the repeated requests are an overload of their
     own, and without early refusal it never ends.
     """
-    assert receive(LEGITKA, "callers retry").recovery_s <= 5
-    naive = receive(LEGITKA, "callers retry", RoundRobin)
+    assert run_pattern(LEGITKA, "callers retry").recovery_s <= 5
+    naive = run_pattern(LEGITKA, "callers retry", RoundRobin)
     assert naive.recovery_s == float("inf")
 
 
-@both
+@both_workloads
 def test_all_come_back_after_an_outage(workload):
     """All upstreams fail for ten seconds and then everyone comes back.
 
     Told nothing or all the same time, callers come back together and are
     refused together, again and again.
     """
-    summary = receive(workload, "all come back")
+    summary = run_pattern(workload, "all come back")
     assert summary.goodput >= 0.97
     assert summary.on_time >= 0.99
     assert summary.recovery_s <= 10
 
 
-@both
+@both_workloads
 def test_payments_are_refused_last(workload):
     """Bulk downloads ask for three times what the slots can serve.
 
     A payment that is refused leaves a pensioner without a pass; there were
     slots enough for every one of them.
     """
-    summary = receive(workload, "payments in overload")
+    summary = run_pattern(workload, "payments in overload")
     assert summary.others_good == 1.0
     assert summary.goodput >= 0.97
 
 
-@both
+@both_workloads
 def test_crashing_request_takes_two_upstreams_at_most(workload):
     """A request crashes each upstream that runs it and is sent again.
 
     Without a stop it takes every copy of the service within seconds.
     """
-    assert receive(workload, "crashing request").crashes <= 2
-    assert receive(workload, "crashing request", RoundRobin).crashes > 4
+    assert run_pattern(workload, "crashing request").crashes <= 2
+    assert run_pattern(workload, "crashing request", RoundRobin).crashes > 4
--- a/godwitlanding/tests/decisions/test_homes.py
+++ b/godwitlanding/tests/decisions/test_homes.py
@@ -7,8 +7,8 @@
 import pytest
 
 from godwitlanding.decisions.homes import (
+    CACHED_OBJECTS,
     MAX_HOMES,
-    REMEMBERED_OBJECTS,
     Homes,
     count_homes,
     estimate_objects,
@@ -83,7 +83,7 @@
     assert homes == expected
 
 
-class Memory:
+class CachingUpstream:
     """An upstream that knows the objects that it handled last."""
 
     def __init__(self):
@@ -103,7 +103,7 @@
     # whichever upstream is free, each would meet one that does not know its
     # object, and take three times as long just when slots are short.
     homes = Homes()
-    memory_by_upstream = {upstream: Memory() for upstream in UPSTREAMS}
+    model_by_upstream = {upstream: CachingUpstream() for upstream in UPSTREAMS}
     keys = [str(key) for key in range(62)]
     for key in keys:
         homes.note_object("s", key)
@@ -113,8 +113,8 @@
             order = homes.get_order("s", key, UPSTREAMS)
             count = homes.get_count("s", len(UPSTREAMS))
             picked = pick_homes(order, count, lambda _: True, lambda _: True)
-            known += memory_by_upstream[picked[turn % count]].handle(key)
-    assert REMEMBERED_OBJECTS < 16
+            known += model_by_upstream[picked[turn % count]].handle(key)
+    assert CACHED_OBJECTS < 16
     assert known / (40 * 62) > 0.85
 
 
--- a/godwitlanding/tests/decisions/test_occupancy.py
+++ b/godwitlanding/tests/decisions/test_occupancy.py
@@ -3,8 +3,8 @@
 import pytest
 
 from godwitlanding.decisions.occupancy import (
-    PEER_SILENT_S,
-    REPORT_FADES_S,
+    PEER_TIMEOUT_S,
+    REPORT_DECAY_S,
     Occupancy,
     get_upstream_number,
 )
@@ -32,9 +32,9 @@
     # the slots would look taken for good, and idle.
     occupancy = Occupancy()
     occupancy.note_peer("a", {U: 3}, 0.0)
-    occupancy.drop_silent(PEER_SILENT_S - 0.1)
+    occupancy.drop_silent(PEER_TIMEOUT_S - 0.1)
     assert occupancy.get("u", 1.0) == 3
-    occupancy.drop_silent(PEER_SILENT_S + 0.1)
+    occupancy.drop_silent(PEER_TIMEOUT_S + 0.1)
     assert occupancy.get("u", 2.0) == 0
 
 
@@ -45,7 +45,7 @@
     occupancy = Occupancy()
     occupancy.begin("u")
     occupancy.note_report("u", 5, 10.0)
-    moment = 10.0 + share * REPORT_FADES_S
+    moment = 10.0 + share * REPORT_DECAY_S
     assert occupancy.get("u", moment) == pytest.approx(expected)
 
 
--- a/godwitlanding/tests/decisions/test_placing.py
+++ b/godwitlanding/tests/decisions/test_placing.py
@@ -3,7 +3,7 @@
 import pytest
 
 from godwitlanding.decisions.placing import (
-    MAX_WAITING_TIMES,
+    MAX_WAITING_PER_SLOT,
     Candidate,
     estimate_wait_s,
     is_worth_taking,
@@ -11,7 +11,7 @@
     place,
 )
 
-USUAL = Candidate(
+BASE_CANDIDATE = Candidate(
     upstream="u",
     slots=3,
     occupied=0,
@@ -55,7 +55,7 @@
             {"distance_s": 0.11}, {"rank": 1}, "second", id="one that is far away"
         ),
         pytest.param(
-            {"occupied": 3 * (1 + MAX_WAITING_TIMES)},
+            {"occupied": 3 * (1 + MAX_WAITING_PER_SLOT)},
             {"rank": 1, "work_s": 9.0},
             "second",
             id="one whose queue is nearly full",
@@ -65,8 +65,8 @@
 def test_place(first, second, winner):
     chosen = place(
         [
-            USUAL._replace(upstream="first", **first),
-            USUAL._replace(upstream="second", **second),
+            BASE_CANDIDATE._replace(upstream="first", **first),
+            BASE_CANDIDATE._replace(upstream="second", **second),
         ]
     )
     assert chosen.candidate.upstream == winner
@@ -91,7 +91,7 @@
 )
 def test_is_worth_taking(occupied, work_s, to_target_s, left_s, came_back, expected):
     placement = place(
-        [USUAL._replace(occupied=occupied, work_s=work_s, usual_s=work_s)]
+        [BASE_CANDIDATE._replace(occupied=occupied, work_s=work_s, usual_s=work_s)]
     )
     taken = is_worth_taking(placement, to_target_s, left_s, came_back)
     assert taken is expected
@@ -109,7 +109,7 @@
     # A payment is expected to end a moment before its route's time is over.
     # When it lasts a little longer it is cut off, its caller is told nothing
     # certain, and may not send it again. Refused at once, it could come back.
-    placement = place([USUAL._replace(work_s=1.6, usual_s=1.6)])
+    placement = place([BASE_CANDIDATE._replace(work_s=1.6, usual_s=1.6)])
     assert is_worth_taking(placement, to_target_s, left_s) is expected
 
 
@@ -133,7 +133,7 @@
     in_time = refused = 0
     for at in arrivals_s:
         ends = [end for end in ends if end > at]
-        candidate = USUAL._replace(
+        candidate = BASE_CANDIDATE._replace(
             slots=slots, occupied=len(ends), work_s=work_s, usual_s=work_s
         )
         placement = place([candidate])
--- a/godwitlanding/tests/decisions/test_planner.py
+++ b/godwitlanding/tests/decisions/test_planner.py
@@ -39,7 +39,7 @@
     )
 
 
-class Rig:
+class PlannerHarness:
     """A planner, the platform's plan and three zones that report."""
 
     def __init__(self, config):
@@ -53,7 +53,7 @@
         self.silent = set()
         self.behind = set()
         self.warm = 1.0
-        self.held_by_zone = dict.fromkeys(ZONES, 0)
+        self.plan_version_by_zone = dict.fromkeys(ZONES, 0)
         self.moves = []
         self.overgranted = []
         self.platform_down = False
@@ -73,7 +73,7 @@
             if zone in self.silent:
                 continue
             if zone not in self.behind:
-                self.held_by_zone[zone] = self.version
+                self.plan_version_by_zone[zone] = self.version
             self.sequence += 1
             self.reported_by_zone[zone] = self.demand_by_zone[zone]
             row = {
@@ -85,10 +85,10 @@
             }
             body = {
                 "sequence": self.sequence,
-                "plan_version": self.held_by_zone[zone],
+                "plan_version": self.plan_version_by_zone[zone],
                 "services": {"status": row, "store": {**row, **self.store_row}},
             }
-            self.demand.take(
+            self.demand.add_summary(
                 zone, self.sequence, json.dumps(body), {"status": 0.05}, self.now
             )
 
@@ -121,7 +121,7 @@
             if into > max(0.0, 8.0 - self.reported_by_zone.get(zone, 0.0)):
                 self.overgranted.append((self.now, zone, into))
 
-    def get_most_moved(self, window_s):
+    def get_max_moved(self, window_s):
         """Return the most that moved within any window, late answers too.
 
         A caller may act on a step up to ``MAX_AGE_S`` after it was made.
@@ -138,11 +138,11 @@
 
 
 def test_shift_arrives_by_capped_steps():
-    rig = Rig(make_config(make_shift()))
-    rig.run(100)
-    assert rig.get_moved() == pytest.approx(0.6)
-    assert [round(moved, 6) for _, moved in rig.moves] == [CAP, CAP, CAP]
-    waits = [b[0] - a[0] for a, b in zip(rig.moves, rig.moves[1:])]
+    harness = PlannerHarness(make_config(make_shift()))
+    harness.run(100)
+    assert harness.get_moved() == pytest.approx(0.6)
+    assert [round(moved, 6) for _, moved in harness.moves] == [CAP, CAP, CAP]
+    waits = [b[0] - a[0] for a, b in zip(harness.moves, harness.moves[1:])]
     assert min(waits) >= STEP_S + MAX_AGE_S
 
 
@@ -153,56 +153,62 @@
     Counting from its own start it would step at once, and callers of both
     steps would arrive within one step time.
     """
-    rig = Rig(make_config(make_shift()))
-    while not rig.moves:
-        rig.run(1)
-    stepped_at = rig.now
+    harness = PlannerHarness(make_config(make_shift()))
+    while not harness.moves:
+        harness.run(1)
+    stepped_at = harness.now
     for _ in range(3):
-        rig.run(restart_s)
-        rig.start_planner()
-    rig.run(60)
-    assert rig.moves[1][0] - stepped_at >= STEP_S + MAX_AGE_S
-    assert rig.get_most_moved(STEP_S) <= CAP + 1e-9
+        harness.run(restart_s)
+        harness.start_planner()
+    harness.run(60)
+    assert harness.moves[1][0] - stepped_at >= STEP_S + MAX_AGE_S
+    assert harness.get_max_moved(STEP_S) <= CAP + 1e-9
 
 
-def go_silent(rig):
-    rig.silent = {"b"}
+def stop_summaries(harness):
+    harness.silent = {"b"}
 
 
-def fall_behind(rig):
-    rig.behind = {"b"}
+def keep_old_plan(harness):
+    harness.behind = {"b"}
 
 
-def get_cold(rig):
-    rig.warm = 0.5
+def cool_caches(harness):
+    harness.warm = 0.5
 
 
-def get_full(rig):
-    rig.demand_by_zone["c"] = 8.0
+def fill_target(harness):
+    harness.demand_by_zone["c"] = 8.0
 
 
-def be_paused(rig):
-    rig.config = make_config(make_shift(paused=True))
+def pause_shift(harness):
+    harness.config = make_config(make_shift(paused=True))
 
 
 @pytest.mark.parametrize(
     ("fault", "after_s"),
-    [(go_silent, 6), (fall_behind, 0), (get_cold, 6), (get_full, 6), (be_paused, 6)],
+    [
+        (stop_summaries, 6),
+        (keep_old_plan, 0),
+        (cool_caches, 6),
+        (fill_target, 6),
+        (pause_shift, 6),
+    ],
 )
 def test_shift_stops(fault, after_s):
     """Measurements stop, a zone is cut off with an old plan, caches are cold.
 
     Stepping on would send callers where nobody knows what they meet.
     """
-    rig = Rig(make_config(make_shift()))
-    while not rig.moves:
-        rig.run(1)
-    rig.run(after_s)
-    fault(rig)
-    before = len(rig.moves)
-    rig.run(60)
-    assert len(rig.moves) == before
-    assert rig.planner.get_status(rig.now)["why"].startswith("status from a")
+    harness = PlannerHarness(make_config(make_shift()))
+    while not harness.moves:
+        harness.run(1)
+    harness.run(after_s)
+    fault(harness)
+    before = len(harness.moves)
+    harness.run(60)
+    assert len(harness.moves) == before
+    assert harness.planner.get_status(harness.now)["why"].startswith("status from a")
 
 
 @pytest.mark.parametrize("outage_s", [1, 5, 20, 90])
@@ -213,63 +219,63 @@
     The shift goes on afterwards as if the step had been made just then;
     it makes nothing up for the time lost.
     """
-    rig = Rig(make_config(make_shift()))
-    while not rig.moves:
-        rig.run(1)
-    rig.run(10)
-    rig.answers_lost = answers_lost
-    rig.run(8)
-    rig.platform_down = True
-    rig.run(outage_s)
-    rig.platform_down = rig.answers_lost = False
-    rig.planner.take_plan(rig.plan, rig.version, rig.now)
-    rig.run(100)
-    assert rig.get_moved() == pytest.approx(0.6)
-    assert rig.get_most_moved(STEP_S) <= CAP + 1e-9
+    harness = PlannerHarness(make_config(make_shift()))
+    while not harness.moves:
+        harness.run(1)
+    harness.run(10)
+    harness.answers_lost = answers_lost
+    harness.run(8)
+    harness.platform_down = True
+    harness.run(outage_s)
+    harness.platform_down = harness.answers_lost = False
+    harness.planner.take_plan(harness.plan, harness.version, harness.now)
+    harness.run(100)
+    assert harness.get_moved() == pytest.approx(0.6)
+    assert harness.get_max_moved(STEP_S) <= CAP + 1e-9
 
 
 @pytest.mark.parametrize("config", [make_config(), make_config(make_shift(0.0))])
 def test_way_back_is_capped_too(config):
     """The operators take a shift out of the text when it has arrived."""
-    rig = Rig(make_config(make_shift()))
-    rig.run(100)
-    rig.moves.clear()
-    rig.config = config
-    rig.run(100)
-    assert rig.get_moved() == 0
-    assert rig.get_most_moved(STEP_S) <= CAP + 1e-9
+    harness = PlannerHarness(make_config(make_shift()))
+    harness.run(100)
+    harness.moves.clear()
+    harness.config = config
+    harness.run(100)
+    assert harness.get_moved() == 0
+    assert harness.get_max_moved(STEP_S) <= CAP + 1e-9
 
 
 def test_step_is_no_larger_than_the_room():
     """The target's region has little headroom left."""
-    rig = Rig(make_config(make_shift(1.0)))
-    rig.demand_by_zone = {"a": 8.0, "b": 2.0, "c": 7.2}
-    rig.run(200)
+    harness = PlannerHarness(make_config(make_shift(1.0)))
+    harness.demand_by_zone = {"a": 8.0, "b": 2.0, "c": 7.2}
+    harness.run(200)
     granted = sum(
         amount
-        for pair, amount in rig.plan.allowance_by_zones_by_service["status"].items()
+        for pair, amount in harness.plan.allowance_by_zones_by_service["status"].items()
         if pair.endswith(">c")
     )
     # Nothing in the rig follows the callers, so each step sees 0.8 free.
-    assert all(moved * 8.0 <= 0.8 + 1e-6 for _, moved in rig.moves)
+    assert all(moved * 8.0 <= 0.8 + 1e-6 for _, moved in harness.moves)
     assert granted <= 0.8
 
 
 @pytest.mark.parametrize(("busy", "moves"), [(2, True), (8, False)])
 def test_shift_needs_room_in_what_the_service_calls(busy, moves):
     """Callers of a service move, and the service it calls there is full."""
-    rig = Rig(make_config(make_shift(), depends_on='["store"]'))
-    rig.store_row = {"busy": busy}
-    rig.run(40)
-    assert bool(rig.moves) is moves
+    harness = PlannerHarness(make_config(make_shift(), depends_on='["store"]'))
+    harness.store_row = {"busy": busy}
+    harness.run(40)
+    assert bool(harness.moves) is moves
 
 
 def test_drained_zone_is_emptied_by_capped_steps():
-    rig = Rig(make_config(drains='{what:"availability_zone",name:"a"}'))
-    rig.run(5)
-    assert rig.plan.get_weights("status", "a") == {"a": 1.0}
-    rig.run(100)
-    assert rig.plan.get_weights("status", "a") == {"b": 1.0}
+    harness = PlannerHarness(make_config(drains='{what:"availability_zone",name:"a"}'))
+    harness.run(5)
+    assert harness.plan.get_weights("status", "a") == {"a": 1.0}
+    harness.run(100)
+    assert harness.plan.get_weights("status", "a") == {"b": 1.0}
 
 
 def test_allowance_of_a_zone_that_is_cut_off_stays_reserved():
@@ -277,15 +283,15 @@
 
     Granting its part to another zone would let both send at once.
     """
-    rig = Rig(make_config())
-    rig.run(20)
-    before = rig.plan.allowance_by_zones_by_service["status"]["a>c"]
-    rig.silent = {"a"}
-    rig.demand_by_zone["c"] = 6.0
-    rig.run(30)
-    reserved = rig.plan.outstanding_by_zones_by_service["status"]
+    harness = PlannerHarness(make_config())
+    harness.run(20)
+    before = harness.plan.allowance_by_zones_by_service["status"]["a>c"]
+    harness.silent = {"a"}
+    harness.demand_by_zone["c"] = 6.0
+    harness.run(30)
+    reserved = harness.plan.outstanding_by_zones_by_service["status"]
     assert reserved["a>c"] == before
-    assert rig.plan.allowance_by_zones_by_service["status"].get("b>c", 0) == 0
+    assert harness.plan.allowance_by_zones_by_service["status"].get("b>c", 0) == 0
 
 
 EVENTS = st.lists(
@@ -309,20 +315,20 @@
 )
 def test_no_schedule_passes_cap_or_headroom(events):
     """Planners come and go, measurements stop, operators change their mind."""
-    rig = Rig(make_config(make_shift()))
+    harness = PlannerHarness(make_config(make_shift()))
     for event, size in events:
         if event == "restart":
-            rig.start_planner()
+            harness.start_planner()
         elif event == "silent":
-            rig.silent = {ZONES[int(size * 2.99)]}
+            harness.silent = {ZONES[int(size * 2.99)]}
         elif event == "heard":
-            rig.silent = set()
+            harness.silent = set()
         elif event == "load":
-            rig.demand_by_zone["c"] = round(size * 10, 1)
+            harness.demand_by_zone["c"] = round(size * 10, 1)
         elif event == "share":
-            rig.config = make_config(make_shift(round(size, 2)))
+            harness.config = make_config(make_shift(round(size, 2)))
         elif event == "plain":
-            rig.config = make_config()
-        rig.run(1 + 20 * size)
-        assert rig.get_most_moved(STEP_S) <= CAP + 1e-6
-        assert rig.overgranted == []
+            harness.config = make_config()
+        harness.run(1 + 20 * size)
+        assert harness.get_max_moved(STEP_S) <= CAP + 1e-6
+        assert harness.overgranted == []
--- a/godwitlanding/tests/decisions/test_policies.py
+++ b/godwitlanding/tests/decisions/test_policies.py
@@ -12,21 +12,21 @@
 )
 from godwitlanding.base.timers import Timers
 from godwitlanding.daemons.arbiter import Arbiter, Ask, Grant, Spill
-from godwitlanding.decisions.budget import RetryBudget
 from godwitlanding.decisions.health import DRAINING, FAILED, READY, UpstreamHealth
 from godwitlanding.decisions.outlier import OutlierDetector
 from godwitlanding.decisions.poison import STOP_S, PoisonLedger
-from godwitlanding.decisions.spill import LinkMeter
+from godwitlanding.decisions.retrybucket import RetryTokenBucket
+from godwitlanding.decisions.spill import LinkLimiter
 from godwitlanding.decisions.warmup import Warmup
 
-FAR_S = 1000.0
-BAD = 77
+FAR_FUTURE_S = 1000.0
+POISON_FINGERPRINT = 77
 
 
 def make_arbiter(upstreams=2, slots=3, **options):
     arbiter = Arbiter("status", **options)
     for index in range(1, upstreams + 1):
-        arbiter.set_loan(f"s{index}", slots, FAR_S, 0.0)
+        arbiter.set_loan(f"s{index}", slots, FAR_FUTURE_S, 0.0)
     return arbiter
 
 
@@ -45,10 +45,10 @@
     Retries without a budget are a load of their own that keeps a struggling
     service down; callers see an outage outlast its cause.
     """
-    budget = RetryBudget()
+    budget = RetryTokenBucket()
     sent = 0
     for _ in range(first_tries):
-        budget.note_first_try(0.0)
+        budget.note_first_attempt(0.0)
         sent += budget.may_retry(0.0)
     sent += sum(budget.may_retry(0.0) for _ in range(100))
     assert retries - 1 <= sent <= retries
@@ -68,8 +68,8 @@
     """A request crashes whatever runs it; its caller sends it again."""
     ledger = PoisonLedger()
     for upstream in crashed:
-        ledger.note_crash(BAD, upstream, 0.0)
-    assert ledger.is_stopped(BAD, later_s) is stopped
+        ledger.note_crash(POISON_FINGERPRINT, upstream, 0.0)
+    assert ledger.is_stopped(POISON_FINGERPRINT, later_s) is stopped
 
 
 def test_popular_request_survives_a_dying_rack():
@@ -79,11 +79,11 @@
     that had nothing to do with it.
     """
     ledger = PoisonLedger()
-    ledger.note_success(BAD, 0.0)
-    ledger.note_crash(BAD, "s1", 1.0)
-    ledger.note_crash(BAD, "s2", 1.0)
-    assert ledger.is_stopped(BAD, 2.0)
-    assert not ledger.is_stopped(BAD, 40.0)
+    ledger.note_success(POISON_FINGERPRINT, 0.0)
+    ledger.note_crash(POISON_FINGERPRINT, "s1", 1.0)
+    ledger.note_crash(POISON_FINGERPRINT, "s2", 1.0)
+    assert ledger.is_stopped(POISON_FINGERPRINT, 2.0)
+    assert not ledger.is_stopped(POISON_FINGERPRINT, 40.0)
 
 
 def test_suspect_runs_alone():
@@ -93,15 +93,18 @@
     take all three.
     """
     arbiter = make_arbiter(upstreams=4, slots=1)
-    first = ask(arbiter, "r1", fingerprint=BAD)
+    first = ask(arbiter, "r1", fingerprint=POISON_FINGERPRINT)
     arbiter.release(first.permit_id, OUTCOME_CRASHED, 0.1, 1.0)
-    second = ask(arbiter, "r2", 1.0, fingerprint=BAD)
+    second = ask(arbiter, "r2", 1.0, fingerprint=POISON_FINGERPRINT)
     assert isinstance(second, Grant) and second.upstream != first.upstream
-    assert ask(arbiter, "r3", 1.0, fingerprint=BAD).code is Code.POISON_REQUEST
+    assert (
+        ask(arbiter, "r3", 1.0, fingerprint=POISON_FINGERPRINT).code
+        is Code.POISON_REQUEST
+    )
     arbiter.release(second.permit_id, OUTCOME_CRASHED, 0.1, 2.0)
-    stopped = ask(arbiter, "r4", 2.0, fingerprint=BAD)
+    stopped = ask(arbiter, "r4", 2.0, fingerprint=POISON_FINGERPRINT)
     assert (stopped.code, stopped.run) == (Code.POISON_REQUEST, RUN_NO)
-    again = ask(arbiter, "r5", 2.0, fingerprint=BAD, attempt=1)
+    again = ask(arbiter, "r5", 2.0, fingerprint=POISON_FINGERPRINT, attempt=1)
     assert (again.code, again.run) == (Code.POISON_REQUEST, RUN_UNKNOWN)
 
 
@@ -109,8 +112,8 @@
     """Another entry VM reports the second crash while a copy waits here."""
     arbiter = make_arbiter(upstreams=1, slots=1)
     held = ask(arbiter, "r1")
-    assert ask(arbiter, "r2", lasts_s=9.0, fingerprint=BAD) is None
-    arbiter.note_poison(BAD, "s8", 2, 0.1)
+    assert ask(arbiter, "r2", lasts_s=9.0, fingerprint=POISON_FINGERPRINT) is None
+    arbiter.note_poison(POISON_FINGERPRINT, "s8", 2, 0.1)
     [decision] = arbiter.release(held.permit_id, OUTCOME_OK, 0.1, 0.2)
     assert decision.outcome.code is Code.POISON_REQUEST
 
@@ -239,7 +242,7 @@
     arbiter = Arbiter("status")
     assert ask(arbiter, "r1", lasts_s=lasts_s) is None
     assert arbiter.tick(1.0) == []
-    [decision] = arbiter.set_loan("s1", 3, FAR_S, 1.2)
+    [decision] = arbiter.set_loan("s1", 3, FAR_FUTURE_S, 1.2)
     assert isinstance(decision.outcome, Grant)
 
 
@@ -263,10 +266,10 @@
 )
 def test_link_meter_holds_its_limits(requests_per_s, bytes_per_s, sent):
     """Many requests at once for a link, 100 bytes each, over two seconds."""
-    meter = LinkMeter(requests_per_s, bytes_per_s)
+    limiter = LinkLimiter(requests_per_s, bytes_per_s)
     passed = 0
     for now in (0.0, 1.0, 2.0):
-        passed += sum(meter.may_send(now, 100) for _ in range(50))
+        passed += sum(limiter.may_send(now, 100) for _ in range(50))
     assert passed == sent
 
 
--- a/godwitlanding/tests/decisions/test_shiftguard.py
+++ b/godwitlanding/tests/decisions/test_shiftguard.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from godwitlanding.decisions.shiftguard import STEP, WINDOW_S, ShiftGuard
+from godwitlanding.decisions.shiftguard import MAX_SHARE_INCREASE, WINDOW_S, ShiftGuard
 
-USERS_ALLOW = 0.15
+ALLOWED_SHARE_INCREASE = 0.15
 
 
-def play(guard, begun_at, requests, wanted_share):
+def serve_window(guard, begun_at, requests, wanted_share):
     """Serve a window's requests, as many elsewhere as wanted and allowed."""
     away = 0
     for number in range(requests):
@@ -25,18 +25,20 @@
     # A burst fills a region. Without a bound half of its requests would run
     # in another region within a second, where nobody reckons with them.
     guard = ShiftGuard()
-    first = play(guard, 0.0, requests, before)
-    second = play(guard, WINDOW_S, requests, 1.0)
-    assert second - first <= STEP + 3 / requests
-    assert requests < 60 or second - first < USERS_ALLOW
+    first = serve_window(guard, 0.0, requests, before)
+    second = serve_window(guard, WINDOW_S, requests, 1.0)
+    assert second - first <= MAX_SHARE_INCREASE + 3 / requests
+    assert requests < 60 or second - first < ALLOWED_SHARE_INCREASE
 
 
 def test_long_burst_moves_on():
     guard = ShiftGuard()
-    shares = [play(guard, WINDOW_S * n, 100, 1.0 if n else 0.0) for n in range(6)]
+    shares = [
+        serve_window(guard, WINDOW_S * n, 100, 1.0 if n else 0.0) for n in range(6)
+    ]
     assert shares[-1] > 0.3
 
 
 def test_vm_that_served_nobody_moves_nobody():
     # After a start there is no share that could be kept.
-    assert play(ShiftGuard(), 0.0, 50, 1.0) == 1.0
+    assert serve_window(ShiftGuard(), 0.0, 50, 1.0) == 1.0
--- a/godwitlanding/tests/gateway/test_chooser.py
+++ b/godwitlanding/tests/gateway/test_chooser.py
@@ -8,7 +8,7 @@
 
 from godwitlanding.base.metrics import Counters
 from godwitlanding.decisions.objectmap import (
-    Meeting,
+    CacheEntry,
     ObjectMap,
     get_object_number,
 )
@@ -104,8 +104,8 @@
         peers = SimpleNamespace(
             count_vms=lambda: 1,
             get_rates=lambda service: dict(self._rates),
-            note_meeting=lambda meeting: self.object_map.note(
-                meeting, asyncio.get_running_loop().time()
+            note_meeting=lambda cache_entry: self.object_map.note(
+                cache_entry, asyncio.get_running_loop().time()
             ),
         )
         kernel = {"registry": self.registry, "peers": peers}
@@ -285,8 +285,8 @@
         numbers = setting.registry.number_by_id
         for number, key in enumerate(KEYS):
             name = WARM[number % len(WARM)][0]
-            meeting = Meeting(numbers[name], get_object_number("s", key))
-            setting.object_map.hear(meeting, 0.0)
+            cache_entry = CacheEntry(numbers[name], get_object_number("s", key))
+            setting.object_map.hear(cache_entry, 0.0)
             assert setting.choose(make_work(key)).upstream.id == name
 
 
@@ -323,8 +323,8 @@
         await asyncio.sleep(WINDOW_S)
         far = setting.registry.number_by_id["far"]
         for key in KEYS:
-            meeting = Meeting(far, get_object_number("s", key))
-            setting.object_map.hear(meeting, 0.0)
+            cache_entry = CacheEntry(far, get_object_number("s", key))
+            setting.object_map.hear(cache_entry, 0.0)
         setting.chooser.availability.ejected.update(name for name, _, _ in WARM)
         assert set(learn(setting, KEYS[:10]).values()) == {"far"}
 
@@ -345,7 +345,7 @@
         moved = [f"moved-{number}" for number in range(60)]
         for number, key in enumerate(moved):
             far = numbers[f"f{number % 4}"]
-            setting.object_map.hear(Meeting(far, get_object_number("s", key)), 0.0)
+            setting.object_map.hear(CacheEntry(far, get_object_number("s", key)), 0.0)
         choices = [setting.choose(make_work(key)) for key in moved]
         assert not any(isinstance(choice, Rejection) for choice in choices)
         far = sum(choice.upstream.id.startswith("f") for choice in choices)
--- a/godwitlanding/tests/gateway/test_peers.py
+++ b/godwitlanding/tests/gateway/test_peers.py
@@ -16,7 +16,7 @@
     make_digest,
 )
 from godwitlanding.decisions.fleet import SILENT_S, Capacity, Fleet
-from godwitlanding.decisions.objectmap import Meeting, ObjectMap
+from godwitlanding.decisions.objectmap import CacheEntry, ObjectMap
 from godwitlanding.decisions.occupancy import Occupancy
 from godwitlanding.gateway.allotmentnews import AllotmentNews
 from godwitlanding.gateway.bulletin import decode_bulletin, encode_bulletin
@@ -326,7 +326,7 @@
         assert setting.peers.count_vms() == 3
 
 
-MEETING = Meeting(7, 9)
+MEETING = CacheEntry(7, 9)
 
 
 async def test_peers_are_told_who_got_an_object(monkeypatch):
@@ -366,9 +366,9 @@
     # A VM that was killed is back and knows no object. It would have each one
     # learnt anew wherever chance sends it.
     async with Setting(monkeypatch) as setting:
-        meetings = {Meeting(number, 9) for number in range(300)}
-        for meeting in meetings:
-            setting.peers.note_meeting(meeting)
+        meetings = {CacheEntry(number, 9) for number in range(300)}
+        for cache_entry in meetings:
+            setting.peers.note_meeting(cache_entry)
         await asyncio.sleep(TELL_S + 0.1)
         setting.wire.sent.clear()
         setting.hear("vm-2", "10.0.0.2", incarnation=5)
--- a/godwitlanding/tests/gateway/test_savedmap.py
+++ b/godwitlanding/tests/gateway/test_savedmap.py
@@ -8,7 +8,7 @@
 
 from godwitlanding.base.codes import Code, make_refusal
 from godwitlanding.base.stored import Snapshot, StoredObject
-from godwitlanding.decisions.objectmap import Meeting, ObjectMap
+from godwitlanding.decisions.objectmap import CacheEntry, ObjectMap
 from godwitlanding.gateway.registry import Registry, Upstream
 from godwitlanding.gateway.savedmap import (
     SAVE_PAUSE_S,
@@ -88,8 +88,8 @@
 
     def learn(self, *keys):
         for key in keys:
-            self.object_map.hear(Meeting(self.near, key), 0.0)
-        self.object_map.hear(Meeting(self.far, 99), 0.0)
+            self.object_map.hear(CacheEntry(self.near, key), 0.0)
+        self.object_map.hear(CacheEntry(self.far, 99), 0.0)
 
 
 async def test_vm_that_starts_after_a_power_cut_knows_who_knows():
@@ -169,5 +169,5 @@
 
 
 def test_meetings_come_back_as_they_were():
-    meetings = [Meeting(2**32 - 1, 0), Meeting(5, 7)]
+    meetings = [CacheEntry(2**32 - 1, 0), CacheEntry(5, 7)]
     assert decode_meetings(encode_meetings(meetings)) == meetings
