--- a/godwitlanding/decisions/capacity.py
+++ b/godwitlanding/decisions/capacity.py
@@ -1,8 +1,8 @@
-"""How much room each zone has, spent as a plan is made.
+"""Tracks the headroom of each zone while a plan is computed.
 
-Answers the pattern of several shifts, drains and spill allowances that end
-in the same zone: each alone would fit, together they would overload it. All
-of one plan draw on the same headroom here: the usable slots times the
+Guards against several shifts, drains and spill allowances that end in the
+same zone: each alone would fit, together they would overload it. All parts
+of one plan reserve from the same headroom here: the usable slots times the
 region's load limit, less the demand that the zone measured.
 
 Pure: ``now`` is seconds of one monotonic clock.
@@ -10,7 +10,7 @@
 
 
 class CapacityBudget:
-    """Headroom by zone and service, spent as steps are planned."""
+    """Headroom by zone and service, reserved as steps are planned."""
 
     def __init__(self, config, demand, now):
         self._config = config
@@ -23,7 +23,7 @@
         return self._demand.get_load(zone, service, self._now)
 
     def get_headroom(self, zone, service):
-        """Return the free slots; 0 where unknown, less where overspent."""
+        """Return the free slots; 0 if unknown, negative if overcommitted."""
         load = self.get_load(zone, service)
         if load is None:
             return 0.0
@@ -32,16 +32,16 @@
         return free - self._reserved.get((zone, service), 0.0)
 
     def reserve(self, zone, service, slots):
-        """Count slots as taken by a step of this plan."""
+        """Reserve slots for a step or an allowance of this plan."""
         key = (zone, service)
         self._reserved[key] = self._reserved.get(key, 0.0) + slots
 
     def estimate_origin(self, service, origin, row):
-        """Return the most that an origin's callers can ask for, in slots.
+        """Return an upper bound of an origin's demand, in slots.
 
         A zone's demand is the sum over the origins of their weight there,
         so an origin's demand is at most the zone's divided by its weight.
-        ``None`` where a zone that it uses has no fresh summary.
+        ``None`` if a zone that it uses has no fresh summary.
         """
         bounds = []
         for zone, weight in row.items():
@@ -54,7 +54,7 @@
         return min(bounds, default=None)
 
     def get_dependencies(self, service):
-        """Return what one slot of ``service`` calls for, by service."""
+        """Return the demand per slot of ``service`` on its dependencies."""
         own = self._sum_demand(service)
         factor_by_name = {}
         pending = list(self._config.service_by_name[service].depends_on)
--- a/godwitlanding/decisions/choice.py
+++ b/godwitlanding/decisions/choice.py
@@ -1,14 +1,14 @@
-"""Which zone and which entry VMs a caller is told to use.
-
-Pure: no network and no clock. It answers the pattern of callers that keep
-their answers for a while and ask again: weights move by small steps, VMs
-come and go, and every steer process has to give the same caller the same
-answer without talking to the others. Without a choice that is fixed by the
-caller's name, callers would move on every refresh: a shift of a tenth
-would then reach far more than a tenth of the callers within one max-age,
-and all of them would arrive at cold caches. Weighted rendezvous hashing
-moves only those that a change of weights has to move;
-``docs/decisions_steering.rst`` has the measurement against its rivals.
+"""Chooses the zones and entry VMs that a caller is told to use.
+
+Pure: no network and no clock. Callers cache their answers for a while and
+ask again, while weights change by small steps and VMs come and go; every
+steer process has to give the same caller the same answer without talking to
+the others. If the choice did not follow from the caller's name alone,
+callers would move on every refresh: a shift of a tenth would then affect far
+more than a tenth of the callers within one max-age, and all of them would
+arrive at cold caches. Weighted rendezvous hashing moves only the callers
+that a change of weights has to move; ``docs/decisions_steering.rst``
+compares it with the alternatives.
 """
 
 from functools import lru_cache
@@ -17,18 +17,18 @@
 
 from xxhash import xxh3_64_intdigest
 
-# A caller tries the choices in turn, each costs it a connect timeout when
-# the VM is gone: three in the zone outlast two VMs lost within a max-age.
+# A caller tries the choices in turn; each VM that is gone costs it a connect
+# timeout. Three in the zone cover two VMs lost within a max-age.
 CHOICES_IN_ZONE = 3
 FALLBACK_ZONES = 2
 
 _HASH_RANGE = 2**64
-# Names of 2,000 VMs and of some services in 85 zones.
+# Enough for the names of 2,000 VMs and of some services in 85 zones.
 _SEEDS_KEPT = 16_384
 
 
 class Target(NamedTuple):
-    """An entry VM that may be named in an answer, with its hash's seed."""
+    """An entry VM that an answer may name, with its hash seed."""
 
     vm: str
     address: str
@@ -37,7 +37,7 @@
 
 
 def make_target(vm, address, availability_zone):
-    """Return the target of a VM."""
+    """Return the ``Target`` of a VM, with its seed computed."""
     return Target(vm, address, availability_zone, get_seed(vm))
 
 
@@ -48,9 +48,10 @@
 
 
 def choose_origin(caller, zones):
-    """Return the origin zone of a caller that no block lists.
+    """Return the origin zone of a caller that no address block lists.
 
-    ``zones`` are all zones of the configuration; ``None`` without any.
+    ``zones`` are all zones of the configuration; returns ``None`` if it has
+    none.
     """
     data = caller.encode()
     return max(
@@ -59,11 +60,11 @@
 
 
 def rank_zones(caller, service, weight_by_zone):
-    """Return the zones with a weight, the caller's own choice first.
+    """Return the zones with a positive weight in the caller's order.
 
     Over many callers each zone comes first for its share of the weights.
-    A larger weight only draws callers to its zone, a smaller one only
-    sends them away.
+    Raising a zone's weight only moves callers to it, lowering it only moves
+    callers away.
     """
     zones = [zone for zone, weight in weight_by_zone.items() if weight > 0]
     if len(zones) < 2:
@@ -80,8 +81,8 @@
 def rank_targets(caller, targets):
     """Return a zone's entry VMs in the order for this caller.
 
-    The first of a caller changes only when its VM leaves or a new VM
-    takes its share.
+    A caller's first target changes only when that VM leaves, or when a new
+    VM becomes first for it.
     """
     data = caller.encode()
     return sorted(targets, key=lambda target: xxh3_64_intdigest(data, target.seed))
@@ -94,10 +95,10 @@
 
 
 def choose_targets(caller, ranked_zones, targets_by_zone):
-    """Return the ordered choices of a caller: its zone's, then fallbacks.
+    """Return a caller's targets: those of its zone, then fallbacks.
 
-    A zone without any usable VM is passed over, so the next one in the
-    caller's order serves it. A zone may stand twice in ``ranked_zones``.
+    A zone without usable VMs is skipped, so the next one in the caller's
+    order serves it. ``ranked_zones`` may list a zone twice.
     """
     chosen = []
     used_zones = set()
--- a/godwitlanding/decisions/demand.py
+++ b/godwitlanding/decisions/demand.py
@@ -1,10 +1,10 @@
-"""What the zones measured, and how much room that leaves.
+"""Keeps the zones' load summaries and derives each service's demand from them.
 
-Answers the pattern of measurements that lag or stop. A summary counts from
-when this process first saw it, on its own clock; one that is older than
-``max_age_s`` counts as missing, and whoever needs it does nothing. Without
-this a zone that fell silent at low load would look empty for ever, and
-callers would be sent to it.
+Guards against measurements that lag or stop. The age of a summary counts
+from when this process first received it, on its own clock; one older than
+``max_age_s`` counts as missing, and decisions that need it are not taken.
+Otherwise a zone that stopped reporting at low load would look empty for
+ever, and callers would be sent to it.
 
 Pure: ``now`` is seconds of one monotonic clock.
 """
@@ -13,12 +13,13 @@
 from collections import deque
 from typing import NamedTuple
 
-# The highest of three: demand that falls for one interval is no headroom.
+# Demand is the highest of three samples, so that a dip in one interval does
+# not count as headroom.
 SAMPLES = 3
 
 
 class ServiceLoad(NamedTuple):
-    """One service in one zone; demand and slots in slots."""
+    """Load of one service in one zone; ``demand`` is measured in slots."""
 
     demand: float
     slots: float
@@ -33,7 +34,7 @@
 
 
 class Demand:
-    """The newest summary of each zone."""
+    """The newest summary of each zone, and recent demand by service."""
 
     def __init__(self, max_age_s):
         self._max_age_s = max_age_s
@@ -41,7 +42,7 @@
         self._samples_by_key = {}
 
     def add_summary(self, zone, version, body, work_s_by_service, now):
-        """Take a summary; one seen before does not count as newer."""
+        """Store a zone's summary; an older or equal version is ignored."""
         summary = self._summary_by_zone.get(zone)
         if summary and version <= summary.version:
             return
@@ -57,17 +58,20 @@
             samples.append(max(in_progress, arriving))
 
     def is_fresh(self, zone, now):
-        """Tell whether the zone's measurements may be used."""
+        """Return whether the zone's summary is recent enough to be used."""
         summary = self._summary_by_zone.get(zone)
         return summary is not None and now - summary.at <= self._max_age_s
 
     def get_plan_version(self, zone):
-        """Return the plan that every member of a zone has at least."""
+        """Return the plan version that all members of a zone have reached.
+
+        0 if the zone has not reported.
+        """
         summary = self._summary_by_zone.get(zone)
         return summary.value.get("plan_version", 0) if summary else 0
 
     def get_load(self, zone, service, now):
-        """Return a ``ServiceLoad``, or ``None`` where it is not known."""
+        """Return the ``ServiceLoad``, or ``None`` if it is not known."""
         if not self.is_fresh(zone, now):
             return None
         row = self._summary_by_zone[zone].value.get("services", {}).get(service)
--- a/godwitlanding/decisions/fairness.py
+++ b/godwitlanding/decisions/fairness.py
@@ -1,26 +1,27 @@
-"""Fair shares by caller: in which order waiting requests are served.
+"""Fair queueing by caller: the order in which waiting requests are served.
 
 Load pattern: one caller, such as a script of a transit office, sends ten
-times what the others send. First come, first served gives it ten times the
-slots, and everyone else waits behind its requests.
-
-Start-time fair queueing: each request gets a tag, the larger of the virtual
-time and the caller's last finish; the caller's finish moves on by the
-request's cost; the smallest tag is served first, and virtual time follows
-the tag served last. A caller that sends little is served next, one that
-sends much queues behind itself, and a slot is never idle to be fair. It
-takes one sorted insertion a request, where rounds over callers would need
-a list of callers kept in step with withdrawals and deadlines.
-
-A caller may run ``BURST`` requests ahead of its share before its tags move
-on, so that callers who send their requests unevenly, as all do, are served
-in the order of arrival; without it p99 of the waiting time at 70 % load was
-a third higher than first come, first served gives.
-
-The cost of a request is 1, or what requests with its fingerprint took
-before as a multiple of the mean, between 0.25 and 20: below, bookkeeping
-would cost more than the work, and above, one outlier would lock its caller
-out for the length of many deadlines.
+times as many requests as each other caller. First come, first served gives
+it ten times the slots, and all others wait behind its requests.
+
+Start-time fair queueing: each request gets a start tag, the larger of the
+virtual time and the caller's last finish; the caller's finish advances by
+the request's cost; the smallest tag is served first, and virtual time
+follows the tag served last. A caller with few requests is served next, one
+with many queues behind its own requests, and no slot is left idle for
+fairness. It takes one sorted insertion per request, where round robin over
+callers would need a list of callers kept in step with withdrawals and
+deadlines.
+
+A caller may run ``BURST`` requests ahead of its share before its tags
+advance, so that callers whose requests arrive unevenly, as they usually do,
+are served in order of arrival; without it p99 of the waiting time at 70 %
+load was a third higher than with first come, first served.
+
+The cost of a request is 1, or the time that requests with its fingerprint
+took before as a multiple of the mean, limited to 0.25 to 20: below,
+bookkeeping would cost more than the work, and above, one outlier would lock
+out its caller for many deadlines.
 """
 
 from typing import NamedTuple
@@ -28,13 +29,14 @@
 BURST = 4.0
 MIN_COST = 0.25
 MAX_COST = 20.0
-# Callers whose finish lies behind the virtual time need no record; they are
-# swept when their number has doubled, which costs constant time a request.
+# Callers whose finish is not after the virtual time need no entry; they are
+# removed when the number of entries has doubled, which costs amortised
+# constant time per request.
 _SWEEP_FROM = 1024
 
 
 class Tag(NamedTuple):
-    """A place in the order of service: smaller is first."""
+    """A request's position in the service order; the smallest is first."""
 
     start: float
     sequence: int
@@ -42,7 +44,7 @@
 
 
 class VirtualClock:
-    """Tags for the requests of one priority.
+    """Assigns tags to the requests of one priority.
 
     >>> clock = VirtualClock()
     >>> [clock.make_tag("hot", "r%d" % n, 1.0).start for n in range(7)]
@@ -68,7 +70,7 @@
         return Tag(start, self._sequence, request_id)
 
     def note_served(self, tag):
-        """Move virtual time on to the tag of a request that got a slot."""
+        """Advance virtual time to the tag of a request that got a slot."""
         self._now = max(self._now, tag.start)
 
     def refund(self, caller, cost):
@@ -87,7 +89,7 @@
 
 
 def bound_cost(expected_s, mean_s):
-    """Return the cost of a request expected to hold a slot that long."""
+    """Return the cost of a request expected to hold a slot for that time."""
     if expected_s <= 0 or mean_s <= 0:
         return 1.0
     return min(MAX_COST, max(MIN_COST, expected_s / mean_s))
--- a/godwitlanding/decisions/health.py
+++ b/godwitlanding/decisions/health.py
@@ -1,21 +1,21 @@
-"""Which upstreams may get new work, joined from what three sources say.
-
-Load pattern: an upstream is leaving and the sources that tell of it lag by
-different times, or a health endpoint lies. Work sent to one that leaves is
-refused or cut off when it stops; believing every failed probe, a fault in
-the probing empties a zone.
-
-*Leaving* is joined pessimistically: the platform's list, the upstream's own
-word to a request and its health endpoint each may say it, and the first
-that does wins. A source takes back only its own word. The word to a request
-has no later message that ends it: it stands until probes have said ready
-for 10 seconds, twice the lag of 5 seconds known from health endpoints.
-
-*Failing* is a guess. Two failed probes in a row count, one is a lost
-packet. Where more than half of the upstreams that do not leave fail their
-probes, the probing is what fails and nothing is taken out; work itself then
-shows which upstreams are bad (``outlier``). An upstream that finished work
-after the first failed probe is not failing.
+"""Decides which upstreams may get new requests, from three health sources.
+
+Load pattern: an upstream is leaving and the sources that report it lag by
+different times, or a health endpoint is wrong. A request sent to an upstream
+that leaves is refused, or cut off when it stops; if every failed probe were
+trusted, a fault in the probing would empty a zone.
+
+*Leaving* is combined pessimistically: the platform's list, the upstream's
+signal in a response and its health endpoint may each report it, and any one
+suffices. A source clears only its own report. A signal in a response has no
+later message that clears it: it stays in force until probes have reported
+ready for 10 seconds, twice the known lag of 5 seconds of health endpoints.
+
+*Failing* is a guess. Two failed probes in a row count, since one may be a
+lost packet. If more than half of the upstreams that are not leaving fail
+their probes, the probing is assumed to be at fault and no upstream is taken
+out; request outcomes then show which upstreams are bad (``outlier``). An
+upstream that finished a request after the first failed probe is not failing.
 """
 
 from typing import NamedTuple
@@ -30,7 +30,7 @@
 
 
 class Verdict(NamedTuple):
-    """Whether an upstream may get new work, and why not."""
+    """Whether an upstream may get new requests, and if not, why."""
 
     usable: bool
     leaving: bool
@@ -49,10 +49,10 @@
 
 
 class UpstreamHealth:
-    """Joins the sources for the upstreams of one service in one zone.
+    """Combines the sources for one service's upstreams in one zone.
 
     >>> health = UpstreamHealth(["s1", "s2"])
-    >>> health.note_word("s1", DRAINING, now=0.0)
+    >>> health.note_signal("s1", DRAINING, now=0.0)
     >>> health.get_verdicts(now=0.0)["s1"]
     Verdict(usable=False, leaving=True, why='its own word')
     """
@@ -62,27 +62,27 @@
         self.set_upstreams(upstream_ids)
 
     def set_upstreams(self, upstream_ids):
-        """Know exactly these upstreams; what was heard of them stays."""
+        """Set the known upstreams, keeping the state of those that stay."""
         self._record_by_upstream = {
             upstream_id: self._record_by_upstream.get(upstream_id) or _Record()
             for upstream_id in upstream_ids
         }
 
     def note_list(self, upstream_id, leaving, now):
-        """Take what the platform's list or the configuration says."""
+        """Record whether the platform's list or configuration drains it."""
         record = self._record_by_upstream.get(upstream_id)
         if record:
             record.list_leaving = leaving
 
     def note_signal(self, upstream_id, state, now):
-        """Take what the upstream said to a request (``Signal.state``)."""
+        """Record the state signalled in a response (``Signal.state``)."""
         record = self._record_by_upstream.get(upstream_id)
         if record and state == DRAINING:
             record.signaled_at = now
             record.ready_since = None
 
     def note_probe(self, upstream_id, state, now):
-        """Take a probe's result: ``READY``, ``DRAINING`` or ``FAILED``."""
+        """Record a probe result: ``READY``, ``DRAINING`` or ``FAILED``."""
         record = self._record_by_upstream.get(upstream_id)
         if not record:
             return
@@ -100,13 +100,13 @@
             record.signaled_at = None
 
     def note_success(self, upstream_id, now):
-        """The upstream finished a request."""
+        """Record that the upstream finished a request."""
         record = self._record_by_upstream.get(upstream_id)
         if record:
             record.success_at = now
 
     def get_verdicts(self, now):
-        """Return every upstream's verdict by its id."""
+        """Return the ``Verdict`` of every upstream by its id."""
         not_leaving = [
             r for r in self._record_by_upstream.values() if not _get_leaving_reason(r)
         ]
--- a/godwitlanding/decisions/homes.py
+++ b/godwitlanding/decisions/homes.py
@@ -1,21 +1,21 @@
-"""Which upstreams of a region should handle an object.
+"""Assigns each object to a few home upstreams of a region.
 
-Load pattern: an upstream works three times as fast on an object it handled
-lately, but remembers a few dozen objects only. Requests spread evenly meet
-every upstream with every object, each forgets what it learned before it
-comes again, and the slots are worth a third.
+Load pattern: an upstream works three times as fast on an object that it
+handled recently, but caches only a few dozen objects. If requests are spread
+evenly, every upstream gets every object and evicts it before it is requested
+again, and the slots carry a third of the load.
 
-This is for objects that nobody knows yet; those that are known stay where
-they are (``decisions.objectmap``).
+This applies to objects that no upstream has cached yet; cached objects stay
+where they are (``decisions.objectmap``).
 
 The upstreams are ranked for each object by rendezvous hashing, the same on
-every VM, and the first are the object's *homes*: as many as leave each
-upstream with ``OBJECTS_EACH`` objects. A request goes to no other upstream
-while one of them is sound, however long it has to wait there: past full,
-requests that overflow elsewhere take three times as long and push out what
-was known there, so that the overload feeds itself: one sees slots full of
-first runs of objects that others know. An upstream that is slow or fails is
-passed over, and the next in the order is a home in its place.
+every VM, and the first ones are the object's *homes*: as many as leave each
+upstream with ``OBJECTS_PER_UPSTREAM`` objects. A request goes to no other
+upstream while a home is healthy, however long it has to wait there. Under
+overload, requests that are sent elsewhere take three times as long and evict
+objects cached there, which makes the overload worse: the slots fill with
+first requests for objects that other upstreams have cached. An upstream that
+is slow or failing is skipped, and the next in the order replaces it.
 """
 
 import math
@@ -23,43 +23,45 @@
 
 from godwitlanding.base.rendezvous import rank
 
-# After this many other objects an upstream still knows most that it met.
+# Number of other objects after which an upstream still has most of its
+# objects cached.
 CACHED_OBJECTS = 14
-# Hashing deals unevenly: some upstreams get nearly twice as many.
+# Hashing spreads objects unevenly: some upstreams get nearly twice as many.
 OBJECTS_PER_UPSTREAM = 8
 MAX_HOMES = 4
-# A service is taken to have this many at the least, about the number of the
-# smallest services today.
+# Lower limit of a service's number of objects, about that of the smallest
+# services today.
 MIN_OBJECTS = 32
-# With fewer requests than this nothing is said of how many there are, and
-# each has one home.
+# With fewer requests the number of objects is not estimated, and each object
+# has one home.
 MIN_REQUESTS = 20
-# Objects remembered for counting; beyond that one home is all there can be.
+# Limit of the objects counted; with more, each has only one home anyway.
 _MAX_COUNTED = 10_000
-# The estimate is made anew when the requests have grown by this factor.
+# The estimate is updated when the requests have grown by this factor.
 _ESTIMATE_GROWTH = 1.1
 _MAX_RANKED = 10_000
 
 
 def count_homes(upstreams, objects):
-    """Return how many homes each object has, one at the least.
+    """Return how many homes each object has, at least one.
 
-    ``objects`` is 0 where it is not known.
+    ``objects`` is 0 if unknown.
     """
     objects = max(objects or _MAX_COUNTED, MIN_OBJECTS)
     return max(1, min(MAX_HOMES, OBJECTS_PER_UPSTREAM * upstreams // objects))
 
 
 def estimate_objects(distinct, requests):
-    """Return how many objects there are, given how many were met.
+    """Return the estimated number of objects, from the distinct ones seen.
 
-    Met evenly, ``requests`` meet ``N * (1 - exp(-requests / N))`` of ``N``
-    objects. A VM that counted only what it met took a service of 258 objects
-    for one of 60 in its first seconds, gave each object four homes, and made
-    each of them learn it: a second or two of slots each.
+    With even popularity, ``requests`` cover ``N * (1 - exp(-requests / N))``
+    of ``N`` objects. A VM that counted only distinct objects took a service
+    of 258 objects for one of 60 in its first seconds, gave each object four
+    homes, and each home had to cache it: a second or two of slot time each.
     """
     if distinct >= requests:
-        # No object came twice yet; half of the pairs would be expected to.
+        # No object was repeated: assume the number of objects at which one
+        # repeated pair would be expected.
         return min(_MAX_COUNTED, requests * requests / 2)
     low, high = float(distinct), float(_MAX_COUNTED)
     for _ in range(30):
@@ -74,9 +76,9 @@
 def pick_homes(order, count, is_usable, is_healthy):
     """Return the homes among upstreams in their ``order``.
 
-    ``is_usable`` and ``is_sound`` tell of an upstream whether it may be used
-    at all and whether it is none of the bad ones. Where no upstream is
-    sound, every one that is usable is as good as the others.
+    ``is_usable`` returns whether an upstream may be used at all,
+    ``is_healthy`` whether it is neither slow nor failing. If no upstream is
+    healthy, all usable ones are returned.
     """
     usable = []
     homes = []
@@ -92,7 +94,7 @@
 
 
 class _ObjectCounter:
-    """The objects of one service that were met."""
+    """Counts the requests and distinct objects of one service."""
 
     def __init__(self):
         self.keys = set()
@@ -110,34 +112,34 @@
 
 
 class Homes:
-    """Ranks upstreams for objects, and remembers the ranking."""
+    """Ranks upstreams for objects, and caches the ranking."""
 
     def __init__(self):
         self._order_by_key = OrderedDict()
         self._counter_by_service = {}
 
     def note_object(self, service, key):
-        """Count an object of a service."""
-        met = self._counter_by_service.get(service)
-        if met is None:
-            met = self._counter_by_service[service] = _ObjectCounter()
-        met.note(key)
+        """Count a request for an object of a service."""
+        counter = self._counter_by_service.get(service)
+        if counter is None:
+            counter = self._counter_by_service[service] = _ObjectCounter()
+        counter.note(key)
 
     def get_objects(self, service):
-        """Return how many objects a service seems to have, 0 if unknown."""
-        met = self._counter_by_service.get(service)
-        return met.objects if met else 0
+        """Return the estimated number of a service's objects, 0 if unknown."""
+        counter = self._counter_by_service.get(service)
+        return counter.objects if counter else 0
 
     def get_count(self, service, upstreams):
         """Return how many homes an object of the service has."""
         return count_homes(upstreams, self.get_objects(service))
 
     def get_order(self, service, key, upstreams):
-        """Return the ``upstreams`` (a tuple) in the order for a key."""
-        held = self._order_by_key.get((service, key))
-        # The same tuple stands for the same upstreams while none changes.
-        if held is not None and held[0] is upstreams:
-            return held[1]
+        """Return the ``upstreams`` (a tuple) in the rank order for a key."""
+        cached = self._order_by_key.get((service, key))
+        # The caller passes the same tuple as long as no upstream changes.
+        if cached is not None and cached[0] is upstreams:
+            return cached[1]
         order = rank(key, upstreams)
         self._order_by_key[(service, key)] = (upstreams, order)
         if len(self._order_by_key) > _MAX_RANKED:
--- a/godwitlanding/decisions/lease.py
+++ b/godwitlanding/decisions/lease.py
@@ -1,16 +1,16 @@
-"""A lease in the platform: who of many may do a piece of work for a while.
+"""Lease stored in the platform that grants one candidate a task for a while.
 
-Answers the pattern of a holder that dies, is paused or is cut off while the
-others wait to take over. Nobody compares clocks: an observer that has seen
-no renewal for ``lease_s`` on its own monotonic clock may take the lease, by
-conditional update, so that of two which try at once one loses. A former
-holder may go on believing for as long as it was paused; so a lease only
-saves double work, and what the work writes has to be fenced by itself
-(the plan is moved by conditional update on its version).
+Guards against a holder that crashes, is paused or is partitioned while
+others wait to take over. Clocks are never compared: an observer that has
+seen no renewal for ``lease_s`` on its own monotonic clock may take the lease,
+by conditional update, so that of two that try at once one fails. A former
+holder may still assume that it holds the lease for as long as it was paused;
+so a lease only avoids duplicate work, and what the work writes needs its own
+fencing (the plan is changed by conditional update on its version).
 
-A platform that was restored from an older copy shows an older lease, while
-the holder of the lost one goes on believing in it; so nobody but
-the holder takes the lease for ``lease_s`` after its version went back.
+A platform restored from an older copy shows an older lease, while the holder
+of the lost one still assumes that it holds it; so nobody but the holder
+takes the lease for ``lease_s`` after its version went back.
 
 Pure: ``now`` is seconds of one monotonic clock.
 """
@@ -18,19 +18,19 @@
 import json
 from typing import NamedTuple
 
-# A third: two renewals may be lost before the lease lapses.
+# Two renewals may be lost before the lease expires.
 RENEWALS_PER_LEASE = 3
 
 
 class Lease(NamedTuple):
-    """The lease as the platform stores it; ``renewal`` counts up."""
+    """The lease as the platform stores it; ``renewal`` counts the writes."""
 
     holder: str
     renewal: int
 
 
 def parse_lease(body):
-    """Return the lease in an object's value; ``ValueError`` if it is none."""
+    """Return the lease in an object's value; ``ValueError`` if invalid."""
     try:
         value = json.loads(body)
         return Lease(str(value["holder"]), int(value["renewal"]))
@@ -52,16 +52,16 @@
         self._candidate = candidate
         self._lease_s = lease_s
         self._seen_at = None
-        # When the platform was seen to have lost a version of the lease.
+        # When the lease's version was last seen to go back.
         self._rolled_back_at = None
         self._valid_until = 0.0
         self._sent_at_by_renewal = {}
 
     def observe(self, lease, version, now):
-        """Take the lease as read from the platform; ``None`` if it is not.
+        """Record the lease as read from the platform, ``None`` if absent.
 
-        A write of this candidate whose answer was lost is found here: it
-        counts from when the write was sent.
+        If it is a write of this candidate whose response was lost, the lease
+        is valid from when the write was sent.
         """
         if self._seen_at is None or version != self.version:
             self._seen_at = now
@@ -77,13 +77,14 @@
             self._valid_until = max(self._valid_until, sent_at + self._lease_s)
 
     def holds(self, now):
-        """Tell whether this candidate holds the lease at ``now``."""
+        """Return whether this candidate holds the lease at ``now``."""
         return self.lease.holder == self._candidate and now < self._valid_until
 
     def get_attempt(self, now):
         """Return the lease to write now, or ``None``.
 
-        Write it on ``version`` and note the outcome with ``note_written``.
+        The caller writes it conditionally on ``version`` and reports success
+        with ``note_written``.
         """
         if self._seen_at is None:
             return None
@@ -107,9 +108,9 @@
         )
 
     def note_written(self, lease, version, now):
-        """The platform has taken ``lease`` as ``version``."""
+        """Record that the platform stored ``lease`` as ``version``."""
         self.observe(lease, version, now)
 
     def release(self):
-        """Return the lease to write when this candidate ends."""
+        """Return the lease to write when this candidate stops."""
         return Lease("", self.lease.renewal + 1)
--- a/godwitlanding/decisions/objectmap.py
+++ b/godwitlanding/decisions/objectmap.py
@@ -1,15 +1,16 @@
-"""Which upstreams know which objects, as all VMs together saw it.
+"""Maps objects to the upstreams that have them cached, as seen by all VMs.
 
-Load pattern: an upstream does its first work on an object in more than three
+Load pattern: an upstream's first request for an object takes more than three
 times the usual time, longer than the target latency allows, and every VM
-that sends the object elsewhere has it learnt once more. One VM sees a part of
-the requests, so its own memory is not enough: half of all late answers were
-first meetings, three and more for each object, where one would have done.
-
-So each VM tells the others which upstream it sent an object to for the first
-time (``gateway.peers``), and an object stays where it is known while it can
-be answered in time there. It is told as it is sent, not when the answer is
-there: who follows meanwhile is fast.
+that sends the object to another upstream causes one more first request. One
+VM sees only part of the requests, so its own records are not enough: half of
+all late answers were first requests, three and more for each object, where
+one would have been enough.
+
+So each VM announces to the others which upstream it first sent an object to
+(``gateway.peers``), and requests for an object go to an upstream that has it
+as long as it can answer in time. The announcement is made when the request
+is sent, not when it is answered: requests that follow meanwhile are fast.
 """
 
 from collections import OrderedDict
@@ -17,18 +18,18 @@
 
 import xxhash
 
-# Objects kept for each upstream, the ones handled last; how many of them it
-# still knows is told by ``decisions.memorysize``.
+# Objects kept for each upstream, those requested last; how many of them it
+# still caches is estimated by ``decisions.cachesize``.
 MAX_KNOWN = 64
-# What is known already is told again after this time, so that those who
-# missed it, and the order in which objects are forgotten, stay right.
+# Known entries are announced again after this time, for VMs that missed the
+# announcement and to keep the eviction order correct.
 ANNOUNCE_INTERVAL_S = 5.0
 
 
 class CacheEntry(NamedTuple):
-    """An upstream got an object; both as 32-bit numbers.
+    """An upstream that was sent an object; both are 32-bit numbers.
 
-    That of the upstream stands for its present start.
+    An upstream gets a new number with each start.
     """
 
     upstream: int
@@ -41,7 +42,7 @@
 
 
 class ObjectMap:
-    """Objects by upstream and upstreams by object, as numbers."""
+    """Cached objects by upstream and upstreams by object, as numbers."""
 
     def __init__(self):
         self._added_at_by_key_by_upstream = {}
@@ -50,7 +51,7 @@
         self._answered = set()
 
     def note(self, cache_entry, now):
-        """An upstream gets an object; return whether that is to be told."""
+        """Record a sent request; return whether to announce it to peers."""
         self.hear(cache_entry, now)
         announced_at = self._announced_at_by_entry.get(cache_entry)
         if announced_at is not None and now - announced_at < ANNOUNCE_INTERVAL_S:
@@ -59,16 +60,19 @@
         return True
 
     def note_answer(self, cache_entry):
-        """The upstream has answered this VM about the object."""
+        """Record that the upstream answered this VM about the object."""
         if self.get_depth(*cache_entry) is not None:
             self._answered.add(cache_entry)
 
     def has_answered(self, cache_entry):
-        """Tell whether it did; what peers tell may not have come to pass."""
+        """Return whether the upstream answered this VM about the object.
+
+        A request announced by a peer may have failed.
+        """
         return cache_entry in self._answered
 
     def hear(self, cache_entry, now):
-        """Take the word of a peer, or our own."""
+        """Add an entry announced by a peer or made by this VM."""
         added_at_by_key = self._added_at_by_key_by_upstream.setdefault(
             cache_entry.upstream, OrderedDict()
         )
@@ -82,7 +86,7 @@
             self.drop(CacheEntry(cache_entry.upstream, oldest))
 
     def drop(self, cache_entry):
-        """The upstream did not get the object after all, or forgot it."""
+        """Remove an entry: the request was not sent, or it was evicted."""
         added_at_by_key = self._added_at_by_key_by_upstream.get(
             cache_entry.upstream, {}
         )
@@ -99,23 +103,23 @@
             del self._upstreams_by_key[cache_entry.key]
 
     def forget(self, upstream):
-        """Drop all that an upstream knew."""
+        """Remove all entries of an upstream."""
         for key in list(self._added_at_by_key_by_upstream.pop(upstream, ())):
             self._remove_from_index(CacheEntry(upstream, key))
 
     def keep_only(self, upstreams):
-        """Forget all but these; peers tell late of those that are gone."""
+        """Remove all other upstreams; peers may announce removed ones late."""
         for upstream in self._added_at_by_key_by_upstream.keys() - upstreams:
             self.forget(upstream)
 
     def get_upstreams(self, key):
-        """Return the upstreams that know an object."""
+        """Return the upstreams that have an object cached."""
         return self._upstreams_by_key.get(key, ())
 
     def get_depth(self, upstream, key):
-        """Return how many objects the upstream has got since this one.
+        """Return how many other objects the upstream was sent since this one.
 
-        ``None`` where it has never got it.
+        ``None`` if the object is not listed for the upstream.
         """
         added_at_by_key = self._added_at_by_key_by_upstream.get(upstream, {})
         if key not in added_at_by_key:
@@ -126,19 +130,19 @@
         return None
 
     def count_known(self, upstream):
-        """Return how many objects an upstream knows."""
+        """Return how many objects are listed for an upstream."""
         return len(self._added_at_by_key_by_upstream.get(upstream, ()))
 
     def count_added_since(self, upstream, since):
-        """Return how many objects it met for the first time since then."""
+        """Return how many objects were first sent to it after ``since``."""
         added_at_by_key = self._added_at_by_key_by_upstream.get(upstream, {})
         return sum(added_at > since for added_at in added_at_by_key.values())
 
     def get_cache_entries(self, limit):
-        """Return up to ``most`` meetings, for a VM that knows none."""
-        meetings = [
+        """Return up to ``limit`` entries, for a VM that has none yet."""
+        entries = [
             CacheEntry(upstream, key)
             for upstream, added_at_by_key in self._added_at_by_key_by_upstream.items()
             for key in added_at_by_key
         ]
-        return tuple(meetings[:limit])
+        return tuple(entries[:limit])
--- a/godwitlanding/decisions/occupancy.py
+++ b/godwitlanding/decisions/occupancy.py
@@ -1,34 +1,34 @@
-"""How many requests each upstream has, as one VM of several can know it.
+"""Estimates how many requests each upstream has, from one VM's point of view.
 
-Load pattern: a few VMs share upstreams of three slots each, and each learns
-from an answer what the load was when the answer left. At 30 requests a
-second a VM, that is about half a second ago, longer than the work itself:
-two VMs find the same upstream idle and both fill it.
+Load pattern: a few VMs share upstreams of three slots each, and each VM
+learns the load from answers, as it was when the answer was sent. At 30
+requests a second per VM that is about half a second ago, longer than the
+work itself: two VMs find the same upstream idle and both fill it.
 
-So each VM tells its peers many times a second how many requests it has at
+So each VM sends its peers many times a second how many requests it has at
 each upstream. What an upstream reports beyond the sum comes from VMs that
-cannot be heard (cut off, just started); it is believed for
-``REPORT_FADES_S`` and fades meanwhile.
+are unreachable (partitioned, just started); it is counted with a weight that
+falls to 0 within ``REPORT_DECAY_S``.
 
-The older a peer's count, the further it is off; and a report that is believed
-for longer than the work lasts adds requests that are not there any more.
+The older a peer's count, the less accurate it is; and a report that counts
+for longer than the work lasts adds requests that have already ended.
 """
 
 import xxhash
 
-# Twice the work on an object that is known, after which three quarters of
-# what a report speaks of have ended.
+# Twice the work time of a cached object, after which three quarters of the
+# requests in a report have ended.
 REPORT_DECAY_S = 0.3
-# A peer that was not heard for this long no longer counts: its process has
-# ended, or the network lost several of its messages in a row.
+# The counts of a peer are dropped if it sends nothing for this long: its
+# process has ended, or several of its messages in a row were lost.
 PEER_TIMEOUT_S = 1.5
 
 
 def get_upstream_number(upstream):
-    """Return the 32-bit number by which VMs name an upstream to each other.
+    """Return the 32-bit number that identifies an upstream between VMs.
 
-    Two of 350 upstreams share a number once in 70,000 fleets; they would
-    count as busier than they are.
+    Two of 350 upstreams share a number in one of 70,000 fleets; they would
+    appear busier than they are.
     """
     return xxhash.xxh32_intdigest(upstream.encode())
 
@@ -51,22 +51,22 @@
         self._total_by_number = {}
 
     def begin(self, upstream):
-        """Count a request of this process."""
+        """Count a request that this process sends."""
         self._get(upstream).own += 1
 
     def end(self, upstream):
-        """A request of this process is over."""
+        """Count the end of a request of this process."""
         self._get(upstream).own -= 1
 
     def note_report(self, upstream, total, now):
-        """Take the upstream's own count of running and waiting requests."""
+        """Record the upstream's own count of running and waiting requests."""
         load = self._get(upstream)
         known = load.own + self._total_by_number.get(load.number, 0)
         load.unattributed = max(0, total - known)
         load.reported_at = now
 
     def note_peer(self, peer, count_by_number, now):
-        """Take what a peer says it has at each upstream."""
+        """Record a peer's number of requests at each upstream."""
         self._updated_at_by_peer[peer] = now
         former = self._count_by_number_by_peer.get(peer, {})
         if count_by_number == former:
@@ -75,7 +75,7 @@
         self._update_total(former, count_by_number)
 
     def drop_silent(self, now):
-        """Forget peers that were not heard for ``PEER_SILENT_S``."""
+        """Drop the counts of peers silent for ``PEER_TIMEOUT_S``."""
         silent = [
             peer
             for peer, updated_at in self._updated_at_by_peer.items()
@@ -86,18 +86,18 @@
             self._update_total(self._count_by_number_by_peer.pop(peer, {}), {})
 
     def get(self, upstream, now):
-        """Return the requests that the upstream probably has."""
+        """Return the estimated number of requests at the upstream."""
         load = self._load_by_upstream.get(upstream)
         if load is None:
             return self._total_by_number.get(get_upstream_number(upstream), 0)
         total = self._total_by_number.get(load.number, 0)
-        left = 1.0 - (now - load.reported_at) / REPORT_DECAY_S
-        return load.own + total + load.unattributed * max(0.0, left)
+        weight = 1.0 - (now - load.reported_at) / REPORT_DECAY_S
+        return load.own + total + load.unattributed * max(0.0, weight)
 
     def get_report_age_s(self, upstream, now):
         """Return the seconds since the upstream's last own report.
 
-        ``None`` where it has made none.
+        ``None`` if it has not reported.
         """
         load = self._load_by_upstream.get(upstream)
         return now - load.reported_at if load and load.reported_at else None
@@ -111,7 +111,7 @@
         }
 
     def get_own_by_number(self):
-        """Return the same by the upstreams' numbers, as peers are told."""
+        """Return this process's counts by upstream number, for peers."""
         return {
             load.number: load.own
             for load in self._load_by_upstream.values()
@@ -119,7 +119,7 @@
         }
 
     def forget(self, upstream):
-        """Drop an upstream that is gone, once nothing is in progress there."""
+        """Drop a removed upstream once no request is in progress there."""
         load = self._load_by_upstream.get(upstream)
         if load and not load.own:
             del self._load_by_upstream[upstream]
@@ -133,9 +133,9 @@
     def _update_total(self, former, count_by_number):
         total = self._total_by_number
         for number, count in former.items():
-            left = total[number] - count
-            if left:
-                total[number] = left
+            remaining = total[number] - count
+            if remaining:
+                total[number] = remaining
             else:
                 del total[number]
         for number, count in count_by_number.items():
--- a/godwitlanding/decisions/outlier.py
+++ b/godwitlanding/decisions/outlier.py
@@ -1,30 +1,30 @@
-"""Which upstreams get no work, or get it last, by what their work shows.
+"""Detects failing and slow upstreams from the outcomes of their requests.
 
 Load pattern: one upstream fails or takes ten times as long while its health
-endpoint lags or says that all is well. Failing quickly it is always the
-least busy one, so without ejection it draws most of the requests and fails
-them. A slow one holds its slots; its callers wait ten times as long though
-others had room.
-
-Failures eject: 5 in a row, since at a failure rate of 10 % that all
-upstreams share this comes about by chance once in 100,000 requests, and
-only where the upstream fails at least twice as often as the others, since
-what fails everywhere is a dependency or the requests themselves and no
-upstream would be better. A crash ejects at once. The first ejection lasts
-5 seconds and each further one twice as long, up to 60.
+endpoint lags or reports that it is healthy. If it fails quickly it is always
+the least busy one, so without ejection it gets most of the requests and
+fails them. A slow one occupies its slots; its callers wait ten times as long
+though other upstreams have free slots.
+
+Failures eject: 5 in a row, since at a failure rate of 10 % shared by all
+upstreams this happens by chance once in 100,000 requests, and only if the
+upstream fails at least twice as often as the average, since what fails
+everywhere is a dependency or the requests themselves and no upstream would
+be better. A crash ejects at once. The first ejection lasts 5 seconds and
+each further one twice as long, up to 60.
 
 Slowness does not eject, because a slow slot is still a paid slot and serves
-where the others are full; a slow upstream is used last for the same times
-(``pool``). It is slow whose work takes 5 times the median of its peers, as
-geometric means of about the last 20 requests, 10 at the least. Work whose
-times spread exponentially strays beyond that by chance in 3 of a million
-such means; at 3 times and 4 requests healthy upstreams were marked all the
-time and p99 at 70 % load rose from 0.23 to 0.41 s. After its time a slow
-upstream is on probation until 4 more requests are measured, one at a time,
-since each of them may cost its caller ten times the time.
+when the others are full; a slow upstream is used last for the same times
+(``pool``). An upstream is slow if its work takes 5 times the median of its
+peers, as geometric means of about the last 20 requests, at least 10.
+Exponentially distributed times exceed that by chance in 3 of a million such
+means; at 3 times and 4 requests healthy upstreams were marked all the time
+and p99 at 70 % load rose from 0.23 to 0.41 s. Afterwards a slow upstream is
+on probation until 4 more requests are measured, one at a time, since each of
+them may take ten times as long for its caller.
 
 At most half of the upstreams are ejected at once, whatever is measured: a
-fault in the measuring, or a failure that all share, must not empty a zone.
+measurement fault, or a failure that all share, must not empty a zone.
 """
 
 from math import log
@@ -46,7 +46,7 @@
 SLOW_TIMES = 5.0
 MIN_SAMPLES = 10
 PROBATION_SAMPLES = 4
-# Weight of the newest sample in the running means: about the last 20 count.
+# Weight of the newest sample in the moving means: about the last 20 count.
 _ALPHA = 0.1
 _MIN_RELATIVE_TIME = 1e-5
 _FAILURES = frozenset({OUTCOME_FAILED, OUTCOME_TIMEOUT, OUTCOME_CRASHED})
@@ -66,7 +66,7 @@
 
 
 class OutlierDetector:
-    """Judges the upstreams of one service in one zone by their outcomes."""
+    """Detects outliers among the upstreams of one service in one zone."""
 
     def __init__(self):
         self._record_by_upstream = {}
@@ -75,22 +75,22 @@
         self._failure_share = 0.0
 
     def add(self, upstream_id):
-        """Know an upstream; the floor counts all that are known."""
+        """Add an upstream; the ejection limit is a share of all added."""
         self._record_by_upstream.setdefault(upstream_id, _Record())
 
     def remove(self, upstream_id):
-        """Forget an upstream that is no longer configured or lent."""
+        """Remove an upstream that is no longer configured or on loan."""
         record = self._record_by_upstream.pop(upstream_id, None)
         self._ejected.discard(upstream_id)
         if record and record.samples >= record.min_samples:
             self._means.discard(record.mean_log)
 
     def note(self, upstream_id, outcome, relative_time, now):
-        """Count how a request ended; outcomes as in ``messages``.
+        """Record how a request ended; outcomes are those of ``messages``.
 
-        ``times_usual`` is how long it took as a multiple of what such
-        requests usually take, so that an upstream which was given long
-        jobs by chance does not seem slow.
+        ``relative_time`` is its duration as a multiple of what such requests
+        usually take, so that an upstream which happened to get long jobs
+        does not seem slow.
         """
         record = self._record_by_upstream.setdefault(upstream_id, _Record())
         if outcome == OUTCOME_OK:
@@ -107,26 +107,26 @@
                 self._eject(upstream_id, record, now)
 
     def is_ejected(self, upstream_id, now):
-        """Tell whether the upstream gets no work at ``now``."""
+        """Return whether the upstream is ejected at ``now``."""
         return self.get_ejected_until(upstream_id) > now
 
     def is_slow(self, upstream_id, now):
-        """Tell whether the upstream is to be used last at ``now``."""
+        """Return whether the upstream is marked slow at ``now``."""
         record = self._record_by_upstream.get(upstream_id)
         return record is not None and record.slow_until > now
 
     def get_ejected_until(self, upstream_id):
-        """Return when the upstream's ejection ends, 0 for none."""
+        """Return when the upstream's ejection ends, 0 if never ejected."""
         record = self._record_by_upstream.get(upstream_id)
         return record.ejected_until if record else 0.0
 
     def get_slow_until(self, upstream_id):
-        """Return until when the upstream is used last, 0 for no time."""
+        """Return when the upstream's slow mark ends, 0 if never marked."""
         record = self._record_by_upstream.get(upstream_id)
         return record.slow_until if record else 0.0
 
     def is_on_probation(self, upstream_id):
-        """Tell whether the upstream's slowness is being measured anew."""
+        """Return whether the upstream's speed is being measured again."""
         record = self._record_by_upstream.get(upstream_id)
         return record is not None and record.on_probation
 
@@ -171,8 +171,8 @@
             self._mark_slow(record, now)
 
     def _mark_slow(self, record, now):
-        # What it takes is measured anew once the time is over: it may have
-        # recovered, and without work it could never show that.
+        # Its speed is measured again afterwards: it may have recovered, which
+        # only new requests can show.
         self._means.discard(record.mean_log)
         record.samples = 0
         record.min_samples = PROBATION_SAMPLES
--- a/godwitlanding/decisions/placing.py
+++ b/godwitlanding/decisions/placing.py
@@ -1,51 +1,54 @@
-"""Which upstream takes a request, and whether it is worth taking at all.
+"""Chooses the upstream of a request, and decides whether to refuse it at once.
 
 Load pattern: more work than slots, for seconds or all day. A late answer is
-worth a fifth of one in time and takes as long, so a queue that lets every
-answer become late serves nobody. A request goes where it is expected to
-finish first; where that is past its target latency because it would have to
-wait for a slot, it is refused at once, so that its caller can come back
-while there is time.
-
-What would be late anyway, by distance or length, is still served where it
-hardly waits: a slot that would stay free serves nobody. Hardly is a quarter
-of one request's work, so that those behind it can be in time. A caller that
-was refused before and came back may wait longer: told to come back a second
-time, it would have waited for nothing.
-
-The wait is that of ``slots`` requests of even length in progress: the first
+worth a fifth of one in time and takes as long, so a queue in which every
+answer becomes late wastes the slots. A request goes where it is expected to
+finish first; if that is after its target latency because it would have to
+wait for a slot, it is refused at once, so that its caller can retry while
+there is time.
+
+A request that would be late anyway, because of distance or length, is still
+served if it hardly waits, since the slot would otherwise stay idle. The limit
+is about a quarter of one request's work, so that those behind it can be in
+time. A request that was refused before and retried may wait longer: refused
+a second time, its caller would have waited in vain.
+
+The wait assumes ``slots`` requests of equal length in progress: the first
 of them ends after one part in ``slots + 1`` of the work, and each request
-that waits already adds one part in ``slots``.
+that already waits adds one part in ``slots``.
 """
 
 from typing import NamedTuple
 
-# What a place further down an object's order is charged, in seconds: enough
-# to choose the first among equals, nothing against a wait.
+# Cost in seconds of each rank further down an object's order: enough to
+# choose the first among equals, negligible against a wait.
 RANK_COST_S = 0.002
-# Upstreams queue three times what they have slots for. More waiting than this
-# many times the slots means that the count is off, and the request would be
-# shed after a trip for nothing. A fixed number would keep callers from an
-# upstream of many slots that would have served them in time.
+# Limit of the waiting requests, as a multiple of the slots. Upstreams queue
+# three times their slots; if more than this limit seem to wait, the count is
+# wrong, and the request would be shed after a useless round trip. A fixed
+# number would keep requests from an upstream of many slots that would have
+# served them in time.
 MAX_WAITING_PER_SLOT = 4 / 3
 
-# Work spreads by 15 in 100 and an expected wait by more. A request that is
-# expected to end just before its time is cut off as often as not: its slot was
-# spent for nothing, and a payment that may have run cannot be sent again,
-# where one that is refused comes back.
+# Safety factor on the expected finish. Work times vary by 15 % and waits by
+# more. A request that is expected to end just before its deadline is cut off
+# about half of the time: its slot time is wasted, and a payment that may have
+# run cannot be sent again, whereas one that is refused can be retried.
 FINISH_MARGIN = 1.25
 
-# Waits of requests that will be late, in works of one request: at three
-# slots, nobody may wait before it, or one. Waiting longer, they make those
-# behind them late as well: more callers get an answer, and fewer in time.
+# Longest waits of requests that will be late, in units of one request's work:
+# at three slots, no request may wait before it, or one if it was refused
+# before. Longer waits make the requests behind late as well: more callers get
+# an answer, but fewer in time.
 MAX_LATE_WAIT = 0.3
 MAX_RETURNING_WAIT = 0.75
 
 
 class Candidate(NamedTuple):
-    """An upstream as it stands now: times in seconds, counts of requests.
+    """An upstream's current state: times in seconds, counts in requests.
 
-    ``work_s`` is for this request there; ``usual_s`` for those before it.
+    ``work_s`` is the work time of this request there, ``usual_s`` that of the
+    requests before it.
     """
 
     upstream: str
@@ -74,12 +77,12 @@
 
 
 def mix_work_s(warm_s, cold_s, cold_requests, in_progress):
-    """Return the mean work time of the requests in progress.
+    """Return the mean work time in seconds of the requests in progress.
 
-    ``learning`` of them work on objects that are new to the upstream. Taking
-    all for known, a wait behind four first meetings looks like 0.05 s and is
-    0.3 s, and the requests behind them are late without having been expected
-    to be.
+    ``cold_requests`` of them are for objects that the upstream has not
+    cached. If all counted as cached, a wait behind four cold requests would
+    be estimated at 0.05 s and be 0.3 s, and the requests behind them would be
+    late unexpectedly.
     """
     if cold_requests <= 0 or in_progress <= 0:
         return warm_s
@@ -89,7 +92,7 @@
 def place(candidates):
     """Return the ``Placement`` that finishes first, or ``None``.
 
-    Failing upstreams are charged the time of the repeats that they cause.
+    The cost of a failing upstream includes the retries that it causes.
     """
     best = None
     best_cost = 0.0
@@ -107,7 +110,7 @@
 
 
 def is_worth_taking(placement, time_to_target_s, time_left_s, came_back=False):
-    """Tell whether a request should be sent rather than refused at once."""
+    """Return whether a request should be sent rather than refused at once."""
     if placement.finish_s > time_left_s:
         return False
     if placement.finish_s <= time_to_target_s:
--- a/godwitlanding/decisions/plan.py
+++ b/godwitlanding/decisions/plan.py
@@ -1,7 +1,7 @@
-"""The plan: where each zone's callers go, and how much may spill.
+"""The plan: traffic weights of each origin zone, and spill allowances.
 
-One object in the platform; the planner alone moves it, by conditional
-update. Everything else only reads it.
+One object in the platform; only the planner changes it, by conditional
+update. All other processes only read it.
 """
 
 import json
@@ -11,10 +11,11 @@
 class Plan(NamedTuple):
     """A version of the plan; shares of an origin zone sum to 1.
 
-    ``outstanding_by_zones_by_service`` are the allowances that may still be
-    in use by a zone which has not shown that it has this version.
-    ``cap_by_origin_by_service`` are the cap and step time under which a row
-    was last moved, kept for the way back when its shift has left the text.
+    ``outstanding_by_zones_by_service`` are the allowances that a zone which
+    has not confirmed this version may still be using.
+    ``cap_by_origin_by_service`` are the cap and step time with which a row
+    was last moved, kept for moving it back when its shift is removed from the
+    configuration.
     """
 
     weight_by_zone_by_origin_by_service: dict
@@ -26,12 +27,12 @@
     cap_by_origin_by_service: dict = {}
 
     def get_weights(self, service, origin_zone):
-        """Return ``{zone: share}``; all to the origin where none is set."""
+        """Return ``{zone: share}``; all to the origin if none is set."""
         by_origin = self.weight_by_zone_by_origin_by_service.get(service, {})
         return by_origin.get(origin_zone) or {origin_zone: 1.0}
 
     def get_allowances(self, service, from_zone):
-        """Return ``{to zone: requests in flight}`` that may spill."""
+        """Return the ``{to zone: requests in flight}`` that may spill."""
         by_zones = self.allowance_by_zones_by_service.get(service, {})
         prefix = f"{from_zone}>"
         return {
@@ -45,7 +46,7 @@
 
 
 def parse_plan(body):
-    """Return the plan in a state's body; ``ValueError`` if it is none."""
+    """Return the plan in a state's body; ``ValueError`` if invalid."""
     try:
         return Plan(**json.loads(body))
     except TypeError as error:
--- a/godwitlanding/decisions/planner.py
+++ b/godwitlanding/decisions/planner.py
@@ -1,17 +1,18 @@
-"""Moves the plan: one small step at a time, or not at all.
-
-Answers the pattern of large shifts of traffic: callers arrive at cold
-caches, in a region that has load of its own, while measurements lag and
-answers given to callers stay in use for ``steer_max_age_s``. Without the
-caps and the waits a shift would arrive all at once; without the look at
-headroom it would overload the region it goes to.
-
-A step of a row waits until every zone has shown in its summary that all its
-members have the plan of the last step, and from then the step time of the
-shift plus the age of callers' answers. So within any step time no more
-callers move than one cap. Both waits are counted on this process's own
-monotonic clock from when it first saw the plan, so that a planner which
-starts afresh waits in full. A summary that is missing or old stops the step.
+"""Computes the next plan: moves traffic weights in small, capped steps.
+
+Guards against large shifts of traffic: callers arrive at cold caches, in a
+region that has load of its own, while measurements lag and answers given to
+callers stay in use for ``steer_max_age_s``. Without the caps and waits a
+shift would arrive all at once; without the headroom check it would overload
+the region it goes to.
+
+A step of a row (a service and an origin zone) waits until every zone has
+reported in its summary that all its members have the plan of the last step,
+and from then on for the step time of the shift plus the age of callers'
+answers. So within any step time no more callers move than one cap. Both
+waits are measured on this process's own monotonic clock from when it first
+saw the plan, so that a planner which restarts waits in full. A missing or
+old summary stops the step.
 
 Pure: ``now`` is seconds of one monotonic clock.
 """
@@ -27,16 +28,16 @@
 from godwitlanding.decisions.plan import EMPTY_PLAN, Plan
 from godwitlanding.decisions.targets import make_base_weights, make_targets
 
-# Below this a zone's upstreams are not warm enough to be given more.
+# A zone whose upstreams are less warm than this gets no more callers.
 WARM_SHARE = 0.8
-# Smaller steps are not worth a write that goes to every process.
+# Smaller steps are not worth a write that is sent to every process.
 MIN_STEP = 0.001
-# Allowances follow the load; written only so often, and when they change.
+# Minimum interval between writes that change only allowances, in seconds.
 ALLOWANCE_INTERVAL_S = 5.0
 
 
 class Step(NamedTuple):
-    """A row's next weights, or why it stays."""
+    """A row's next weights, or the reason why it does not move."""
 
     weight_by_zone: dict
     why: str
@@ -44,7 +45,7 @@
 
 
 class Planner:
-    """Decides the next plan from what it has seen."""
+    """Computes the next plan from the current plan and the summaries."""
 
     def __init__(self, demand, steer_max_age_s, now):
         self.plan = EMPTY_PLAN
@@ -58,7 +59,7 @@
         self._why = ""
 
     def take_plan(self, plan, version, now):
-        """Take the plan in force; rows that changed begin a new wait."""
+        """Set the current plan; rows that changed start a new wait."""
         if version <= self.version:
             return
         for row in _list_rows(plan) | _list_rows(self.plan):
@@ -74,7 +75,7 @@
         self._written_at = now
 
     def make_plan(self, config, now):
-        """Return the next ``Plan``, or ``None`` where nothing may move."""
+        """Return the next ``Plan``, or ``None`` if none need be written."""
         self._note_applied(config, now)
         capacity = CapacityBudget(config, self._demand, now)
         zones = config.region_by_zone
@@ -104,7 +105,7 @@
         return plan if self._is_worth_writing(plan, moved, now) else None
 
     def get_status(self, now):
-        """Return what the planner waits for, for operators."""
+        """Return the planner's state and what it waits for, for operators."""
         return {
             "version": self.version,
             "step": self.plan.step,
@@ -117,16 +118,16 @@
         }
 
     def _note_applied(self, config, now):
-        # Callers of a zone that still has the former plan would later move
-        # by two steps at once: the wait begins when the last zone has it.
-        held = min(
+        # Callers of a zone that still has the previous plan would later move
+        # by two steps at once, so the wait begins when the last zone has it.
+        applied_version = min(
             (self._demand.get_plan_version(zone) for zone in config.region_by_zone),
             default=0,
         )
         for service in config.service_by_name:
             for origin in config.region_by_zone:
                 row = (service, origin)
-                if held >= self._version_by_row.get(row, self.version):
+                if applied_version >= self._version_by_row.get(row, self.version):
                     self._applied_since_by_row.setdefault(row, now)
 
     def _make_step(self, row, target, capacity, stale_zones, config, now):
@@ -156,7 +157,7 @@
         return Step(_interpolate(current, target.weight_by_zone, share), "", True)
 
     def _get_feasible_share(self, service, origin, current, gains, capacity):
-        """Return the part of ``gains`` for which every target has room."""
+        """Return the share of ``gains`` that fits every target's headroom."""
         demand = capacity.estimate_origin(service, origin, current)
         if demand is None:
             return 0.0
@@ -178,7 +179,7 @@
                 capacity.reserve(zone, name, gain * share * demand * factor)
 
     def _get_in_use(self, service, source, target):
-        """Return the allowance that a zone may still be using."""
+        """Return the allowance that ``source`` may still be using."""
         pair = f"{source}>{target}"
         granted = self.plan.allowance_by_zones_by_service.get(service, {})
         if self._demand.get_plan_version(source) >= self.version > 0:
@@ -187,16 +188,16 @@
         return max(granted.get(pair, 0), reserved.get(pair, 0))
 
     def _list_sources(self, config, service, target):
-        known = set(get_sources(config, (), target))
+        sources = set(get_sources(config, (), target))
         for granted in (
             self.plan.allowance_by_zones_by_service.get(service, {}),
             self.plan.outstanding_by_zones_by_service.get(service, {}),
         ):
-            known |= {p.split(">")[0] for p in granted if p.endswith(f">{target}")}
-        return sorted(known)
+            sources |= {p.split(">")[0] for p in granted if p.endswith(f">{target}")}
+        return sorted(sources)
 
     def _reserve_allowances(self, config, capacity):
-        """Keep what was granted to spill out of the reach of steps."""
+        """Reserve the granted allowances, so that steps cannot use them."""
         for service in config.service_by_name:
             for target in config.region_by_zone:
                 for source in self._list_sources(config, service, target):
@@ -216,9 +217,11 @@
                     for source in self._list_sources(config, service, target)
                 }
                 headroom = capacity.get_headroom(target, service) + sum(in_use.values())
-                heard = {s for s in in_use if capacity.get_load(s, service) is not None}
+                reporting = {
+                    s for s in in_use if capacity.get_load(s, service) is not None
+                }
                 new = divide_headroom(headroom, in_use)
-                new = divide_small_headroom(headroom, in_use, new, heard)
+                new = divide_small_headroom(headroom, in_use, new, reporting)
                 if capacity.get_load(target, service) is None:
                     new = {source: 0 for source in in_use}
                 for source, amount in new.items():
@@ -290,7 +293,7 @@
 
 
 def _get_active_caps(weights, target_by_row):
-    """Return the cap of each row that is, or is going, off its base."""
+    """Return the caps of rows that are shifted or off their target."""
     caps = {}
     for (service, origin), target in target_by_row.items():
         row = weights[service][origin]
--- a/godwitlanding/decisions/poison.py
+++ b/godwitlanding/decisions/poison.py
@@ -1,20 +1,21 @@
-"""Requests that crash the upstreams that run them.
+"""Tracks request fingerprints that crash upstreams, and stops them.
 
 Load pattern: a single request crashes each upstream that runs it, and its
 caller or an entry VM sends it again. Without this ledger one such request
-takes every licensed copy of a service within a few tries.
+takes down every licensed copy of a service within a few attempts.
 
 A fingerprint that crashed one upstream is a suspect: one copy of it may run
-at a time, so that several sent at once cannot crash several upstreams
-before the first crash is known. One that crashed two different upstreams is
-stopped. Two, because one crash is more often the upstream's own death, and
-the brief lets a request cost no more than that.
-
-The stop lasts 10 minutes: longer than a caller keeps pressing, short enough
-that a repaired upstream is used again the same hour. A request that crashes
-upstreams by its content never succeeds; so a fingerprint that succeeded
-before is stopped for 30 seconds only, since a rack that dies takes two
-upstreams at once with whatever popular request they were running.
+at a time, so that several sent at once cannot crash several upstreams before
+the first crash is known. A fingerprint that crashed two different upstreams
+is stopped. The limit is two because a single crash is more often the
+upstream's own failure, and the requirements let a request cost no more
+than that.
+
+The stop lasts 10 minutes: longer than a caller keeps retrying, short enough
+that a repaired upstream is used again within the hour. A request that
+crashes upstreams by its content never succeeds; so a fingerprint that
+succeeded before is stopped for 30 seconds only, since a failing rack takes
+down two upstreams at once with whatever popular request they were running.
 """
 
 from collections import OrderedDict
@@ -33,11 +34,11 @@
 
 
 class PoisonLedger:
-    """Which upstreams each fingerprint crashed; pure, bounded in size.
+    """Records which upstreams each fingerprint crashed; bounded in size.
 
-    ``note_crash`` is given what this process saw; ``note_report`` what a
-    ``Poison`` message from another process says. A fingerprint of 0 stands
-    for a request that has none and is never stopped.
+    ``note_crash`` records a crash seen by this process, ``note_report`` one
+    that a ``Poison`` message from another process reports. A fingerprint of
+    0 stands for a request that has none and is never stopped.
     """
 
     def __init__(self, max_fingerprints=MAX_FINGERPRINTS):
@@ -46,17 +47,17 @@
         self._known_good = OrderedDict()
 
     def note_crash(self, fingerprint, upstream, now):
-        """Count a crash; return how many upstreams it has crashed so far."""
+        """Record a crash; return how many upstreams crashed so far."""
         return self.note_report(fingerprint, upstream, 1, now)
 
     def note_report(self, fingerprint, upstream, crashes, now):
-        """Join another process's count, which may be ahead of our own."""
+        """Merge another process's count, which may be higher than ours."""
         if not fingerprint:
             return 0
-        held = self._get(fingerprint, now)
-        upstreams = held.upstreams if held else frozenset()
+        record = self._get(fingerprint, now)
+        upstreams = record.upstreams if record else frozenset()
         upstreams |= {upstream}
-        crashes = max(len(upstreams), crashes, held.crashes if held else 0)
+        crashes = max(len(upstreams), crashes, record.crashes if record else 0)
         good = fingerprint in self._known_good
         until = now + (STOP_KNOWN_GOOD_S if good else STOP_S)
         self._record_by_fingerprint[fingerprint] = _Record(upstreams, until, crashes)
@@ -65,7 +66,7 @@
         return crashes
 
     def note_success(self, fingerprint, now):
-        """An upstream ran it whole: what crashed was not its doing."""
+        """Record a success: the request does not cause the crashes."""
         if not fingerprint or self.is_stopped(fingerprint, now):
             return
         self._record_by_fingerprint.pop(fingerprint, None)
@@ -74,12 +75,12 @@
         self._evict_oldest(self._known_good)
 
     def is_stopped(self, fingerprint, now):
-        """Tell whether the request must not be sent to any upstream."""
+        """Return whether the request must not be sent to any upstream."""
         record = self._get(fingerprint, now)
         return record is not None and record.crashes >= CRASHES_TO_STOP
 
     def is_suspect(self, fingerprint, now):
-        """Tell whether it crashed an upstream and may run only alone."""
+        """Return whether it crashed an upstream, so only one copy may run."""
         return self._get(fingerprint, now) is not None
 
     def get_crashed_upstreams(self, fingerprint, now):
@@ -88,7 +89,7 @@
         return record.upstreams if record else frozenset()
 
     def get_retry_after_s(self, fingerprint, now):
-        """Return the seconds until the stop ends, 0 for none."""
+        """Return the seconds until the record expires, 0 if there is none."""
         record = self._get(fingerprint, now)
         return max(0.0, record.until - now) if record else 0.0
 
--- a/godwitlanding/decisions/queue.py
+++ b/godwitlanding/decisions/queue.py
@@ -1,13 +1,13 @@
-"""The pooled queue: who is next for any slot of the service in the zone.
+"""The pooled request queue of a service in one zone.
 
-Load pattern: requests come in bursts, and several upstreams serve them. A
-queue for each upstream or each VM lets requests wait at one while a slot is
-free at another; one pooled queue gives the least waiting that the slots
+Load pattern: requests arrive in bursts, and several upstreams serve them.
+With a queue per upstream or per VM, requests wait in one while a slot is
+free at another; one pooled queue gives the shortest wait that the slots
 allow. Order is by priority of the kind of work, then by fair share of
-callers. Requests expected to take long stand in a lane of their own, so
-that they can be passed over while long jobs hold their share of the slots.
+callers. Requests expected to take long are kept in a lane of their own, so
+that they can be skipped while long jobs hold their share of the slots.
 
-Every operation is logarithmic in the number of requests that wait.
+Every operation is logarithmic in the number of waiting requests.
 """
 
 from typing import NamedTuple
@@ -20,7 +20,7 @@
 class QueuedRequest(NamedTuple):
     """A request in the queue; times are on the arbiter's clock.
 
-    ``start_by`` is the latest time at which a grant still helps.
+    ``start_by`` is the latest time at which a grant is still useful.
     """
 
     ask: tuple
@@ -54,7 +54,7 @@
 
 
 class AskQueue:
-    """Requests that wait for a slot."""
+    """Requests that wait for a slot, in service order."""
 
     def __init__(self):
         self._waiting_by_id = {}
@@ -68,7 +68,7 @@
         return request_id in self._waiting_by_id
 
     def add(self, ask, now, start_by, is_long=False, cost=1.0):
-        """Queue a request and return its ``Waiting``."""
+        """Queue a request and return its ``QueuedRequest``."""
         priority = self._by_priority.setdefault(ask.priority, _Priority())
         tag = priority.clock.make_tag(ask.caller, ask.request_id, cost)
         waiting = QueuedRequest(ask, now, start_by, is_long, cost, tag)
@@ -76,15 +76,15 @@
         return waiting
 
     def put_back(self, waiting):
-        """Queue again, in its old place, what ``remove`` took out."""
+        """Queue a removed request again at its old position."""
         self._insert(self._by_priority[waiting.ask.priority], waiting)
 
     def get(self, request_id):
-        """Return the request's ``Waiting``, or ``None``."""
+        """Return the ``QueuedRequest``, or ``None`` if not queued."""
         return self._waiting_by_id.get(request_id)
 
     def remove(self, request_id):
-        """Take a request out; return its ``Waiting``, or ``None``."""
+        """Remove and return the ``QueuedRequest``, or ``None``."""
         waiting = self._waiting_by_id.pop(request_id, None)
         if waiting:
             priority = self._by_priority[waiting.ask.priority]
@@ -93,7 +93,7 @@
         return waiting
 
     def get_first(self, may_take_long=True):
-        """Return who is next, or ``None``; long jobs only if they may."""
+        """Return the next request, or ``None``; long ones only if allowed."""
         for priority in self._by_priority.values():
             tag = priority.get_first(may_take_long)
             if tag:
@@ -101,23 +101,23 @@
         return None
 
     def get_last(self):
-        """Return who would be served last, or ``None``."""
+        """Return the request that would be served last, or ``None``."""
         for priority in reversed(self._by_priority.values()):
             if len(priority):
                 return self._waiting_by_id[priority.get_last().request_id]
         return None
 
     def note_served(self, waiting):
-        """A request that was taken out got a slot."""
+        """Record that a removed request got a slot."""
         self._by_priority[waiting.ask.priority].clock.note_served(waiting.tag)
 
     def note_refused(self, waiting):
-        """A request that was taken out got none: do not charge for it."""
+        """Refund the fair-share cost of a removed request without a slot."""
         clock = self._by_priority[waiting.ask.priority].clock
         clock.refund(waiting.ask.caller, waiting.cost)
 
     def count_ahead(self, waiting):
-        """Return how many requests are served before this one."""
+        """Return how many requests will be served before this one."""
         ahead = 0
         for level, priority in self._by_priority.items():
             if level >= waiting.ask.priority:
@@ -129,7 +129,7 @@
         )
 
     def count_long_ahead(self, waiting):
-        """Return how many long requests are served before this one."""
+        """Return how many long requests will be served before this one."""
         ahead = 0
         for level, priority in self._by_priority.items():
             if level >= waiting.ask.priority:
@@ -139,7 +139,7 @@
         return ahead + own.long.bisect_left(waiting.tag)
 
     def is_over_share(self, caller):
-        """Tell whether the caller has more than twice its share waiting."""
+        """Return whether the caller has over twice its share queued."""
         share = len(self) / max(1, len(self._count_by_caller))
         return self._count_by_caller.get(caller, 0) > max(1.0, 2 * share)
 
--- a/godwitlanding/decisions/retrybucket.py
+++ b/godwitlanding/decisions/retrybucket.py
@@ -1,28 +1,28 @@
-"""How many retries an entry process may add to the first tries.
+"""Token bucket that limits an entry process's retries to a share of requests.
 
-Load pattern: upstreams begin to fail under load, each failure is tried
-again, and the retries are load of their own. Without a budget three tries a
-request triple the load at the moment when capacity is least, and the system
-stays down after the cause has gone (a metastable failure).
+Load pattern: upstreams begin to fail under load, each failure is retried,
+and the retries add load. Without a budget three attempts for each request
+triple the load when capacity is lowest, and the system stays overloaded
+after the cause is gone (a metastable failure).
 
-The budget is a share of first tries, since a fixed count would either be
-nothing at full load or everything at night. 10 % bounds the added load to
-1.1 times while it still covers the loss of one upstream in ten; the floor
-of 0.5 a second lets a quiet service retry at all.
+The budget is a share of first attempts, since a fixed count would be either
+negligible at full load or unlimited at night. 10 % bounds the load to 1.1
+times while it still covers the loss of one upstream in ten; the minimum of
+0.5 a second allows a service with little traffic to retry at all.
 """
 
 RETRY_SHARE = 0.1
 FLOOR_PER_S = 0.5
-# What may be saved up: a burst of failures, such as an upstream that dies
-# with all its slots taken, is retried whole even when traffic is low.
+# Bucket size: a burst of failures, such as an upstream that fails with all its
+# slots in use, can be retried completely even when traffic is low.
 BURST_RETRIES = 10.0
 
 
 class RetryTokenBucket:
-    """A token bucket filled by first tries and, slowly, by time.
+    """A token bucket filled by first attempts and, slowly, by time.
 
-    >>> budget = RetryBudget()
-    >>> budget.note_first_try(0.0)
+    >>> budget = RetryTokenBucket()
+    >>> budget.note_first_attempt(0.0)
     >>> budget.may_retry(0.0)
     True
     """
@@ -39,7 +39,7 @@
         self._fill(now, self._share)
 
     def may_retry(self, now):
-        """Tell whether a retry may be sent, and spend it if so."""
+        """Return whether a retry may be sent; take its token if so."""
         self._fill(now, 0.0)
         if self._tokens < 1.0:
             return False
--- a/godwitlanding/decisions/shiftguard.py
+++ b/godwitlanding/decisions/shiftguard.py
@@ -1,23 +1,24 @@
-"""How fast a VM's callers may change the region in which they are served.
+"""Limits how fast a VM's requests may move between regions.
 
 Load pattern: a burst fills a region, or callers move to it and ask for
-objects that other regions know. Answering each where that is soonest would
-move a third of the region's requests within a second, and the region that
-gets them has neither the slots nor the objects for that.
-
-What the regions' plan deals out moves slowly by itself. Each choice beside
-it, for an object that is known elsewhere or a home that is full, is allowed
-only while the share of requests that run in the other region stays within
-``STEP`` of what it was in the ``WINDOW_S`` before.
+objects that are cached in other regions. If each went where it is answered
+soonest, a third of the region's requests would move within a second, and the
+region that gets them has neither the slots nor the cached objects for that.
+
+The shares of the regions' plan move slowly by themselves. Each choice that
+differs from it, for an object cached elsewhere or a home that is full, is
+allowed only while the share of requests that run in the other region stays
+within ``MAX_SHARE_INCREASE`` of its share in the previous ``WINDOW_S``.
 """
 
 from collections import Counter
 
-# Users allow 0.15 from one span of 2 s to the next. The plan moves 0.08 in
-# that time, and what it moves counts here as well.
+# Users accept a change of 0.15 from one span of 2 s to the next. The plan
+# moves 0.08 in that time, and what it moves counts here as well.
 WINDOW_S = 2.0
 MAX_SHARE_INCREASE = 0.06
-# A VM with thirty requests a second sees sixty in a window, dealt by chance.
+# Requests allowed beyond the share: a VM with thirty requests a second gets
+# only sixty in a window, with random variation.
 SLACK = 2
 
 
@@ -30,16 +31,16 @@
         self._former = Counter()
 
     def note(self, region, now):
-        """A request runs in ``region``."""
+        """Count a request that runs in ``region``."""
         self._roll_window(now)
         self._counts[region] += 1
 
     def may_change(self, region, now):
-        """Tell whether one more request may be sent to another region."""
+        """Return whether one more request may be sent to ``region``."""
         self._roll_window(now)
         former = self._former.total()
         if not former:
-            # Nobody was served before, so nobody changes.
+            # No request was served before, so there is no share to keep.
             return True
         share = self._former[region] / former + MAX_SHARE_INCREASE
         return self._counts[region] + 1 <= share * (self._counts.total() + 1) + SLACK
--- a/godwitlanding/decisions/spill.py
+++ b/godwitlanding/decisions/spill.py
@@ -1,27 +1,28 @@
-"""How much work may be handed to other availability zones.
+"""Limits the requests that may be spilled to other availability zones.
 
-Load pattern: a zone is full and its neighbours are not, or several zones
-are full at once and all pick the same neighbour. Without allowances each
-zone that decides alone sends all it cannot serve, and a region that had
-headroom is overloaded by everyone's surplus. The plan grants each pair of
-zones a number of requests in flight beforehand, and these sum to no more
-than the target's headroom, so no message is needed at the moment of need.
+Load pattern: a zone is full and its neighbours are not, or several zones are
+full at once and all spill to the same neighbour. Without allowances each
+zone decides alone and sends all that it cannot serve, and a region that had
+headroom is overloaded by the surplus of all others. The plan grants each
+pair of zones a number of requests in flight in advance, and these sum to no
+more than the target's headroom, so no message is needed at spill time.
 
 Links between zones have limits of their own, in requests and in bytes a
-second; ``LinkMeter`` holds them by token buckets. A bucket holds 1 second:
-with less, arrivals that are merely uneven at 80 % of the limit are refused;
-with more, a link that stood idle is sent several times its limit at once.
+second; ``LinkLimiter`` enforces them by token buckets. A bucket holds 1
+second: with less, arrivals that are merely uneven at 80 % of the limit are
+refused; with more, a link that was idle is sent several times its limit at
+once.
 """
 
 BURST_S = 1.0
 
 
 class LinkLimiter:
-    """Token buckets for one link; a limit of 0 bytes a second is none.
+    """Token buckets for one link; 0 bytes a second means no byte limit.
 
-    Bytes are known only when they have passed, so they are charged after
-    the fact and may run the bucket into debt, which holds later requests
-    back until it is paid.
+    Bytes are known only after they have passed, so they are charged then and
+    may make the bucket negative, which blocks later requests until it has
+    refilled.
     """
 
     def __init__(self, requests_per_s, bytes_per_s=0.0, burst_s=BURST_S):
@@ -33,7 +34,7 @@
         self._filled_at = None
 
     def may_send(self, now, size_bytes=0):
-        """Take a request's tokens, or tell that the link is full."""
+        """Take a request's tokens; return ``False`` if the link is full."""
         self._fill(now)
         if self._requests < 1.0 or self._lacks_bytes():
             return False
@@ -70,12 +71,12 @@
         self._requests = min(
             max_requests, self._requests + elapsed_s * self.requests_per_s
         )
-        full = self.bytes_per_s * self._burst_s
-        self._bytes = min(full, self._bytes + elapsed_s * self.bytes_per_s)
+        max_bytes = self.bytes_per_s * self._burst_s
+        self._bytes = min(max_bytes, self._bytes + elapsed_s * self.bytes_per_s)
 
 
 class SpillAllowances:
-    """Requests in flight that this zone may have in each other zone.
+    """Limits this zone's requests in flight in each other zone.
 
     >>> spill = SpillAllowances()
     >>> spill.set_allowances({"maz-b": 1})
@@ -90,15 +91,15 @@
         self._limiter_by_zone = {}
 
     def set_allowances(self, allowance_by_zone):
-        """Take the plan's allowances, in the plan's order of preference."""
+        """Set the plan's allowances, in the plan's order of preference."""
         self._allowance_by_zone = dict(allowance_by_zone)
 
     def set_link_limiter(self, availability_zone, limiter):
-        """Hold spill to a zone within the limits of its link."""
+        """Set the limiter of the link to a zone."""
         self._limiter_by_zone[availability_zone] = limiter
 
     def take(self, request_id, now):
-        """Return a zone with room for the request, or ``None``."""
+        """Return a zone with an allowance for the request, or ``None``."""
         self.end(request_id)
         for zone, allowance in self._allowance_by_zone.items():
             if self._open_by_zone.get(zone, 0) >= int(allowance):
@@ -112,7 +113,7 @@
         return None
 
     def end(self, request_id):
-        """The request has ended in the other zone; give its place back."""
+        """Release the allowance of a request that ended in the other zone."""
         zone = self._zone_by_request.pop(request_id, None)
         if zone:
             self._open_by_zone[zone] -= 1
--- a/godwitlanding/decisions/targets.py
+++ b/godwitlanding/decisions/targets.py
@@ -1,20 +1,20 @@
-"""Where each origin zone's callers should go in the end.
+"""Computes the target weights of each origin zone from the configuration.
 
-Pure: from the configuration alone. ``planner`` moves the plan towards these
-rows, step by step.
+Pure. ``planner`` moves the plan towards these weights step by step.
 """
 
 from typing import NamedTuple
 
 KIND_ZONE = "availability_zone"
-# A drain or a change of the upstreams has no cap of its own in the text: a
-# quarter of the callers a step, so that caches warm with a mixture.
+# A drain or a change of the upstreams has no cap in the configuration: it
+# moves a quarter of the callers per step, so that caches warm up with a mix of
+# old and new callers.
 DEFAULT_CAP_SHARE = 0.25
 DEFAULT_STEP_S = 5.0
 
 
 class WeightTarget(NamedTuple):
-    """A row to reach, and how fast it may be approached."""
+    """Target weights of a row, and how fast they may be approached."""
 
     weight_by_zone: dict
     cap_share: float
@@ -24,7 +24,7 @@
 
 
 def find_serving_zones(config, service):
-    """Return the zones that may serve a service, with their slots."""
+    """Return the slots of each zone that may serve a service."""
     slots_by_zone = {}
     for upstream in config.service_by_name[service].upstream_by_id.values():
         zone = upstream.availability_zone
@@ -37,7 +37,11 @@
 
 
 def make_base_weights(config, service, origin):
-    """Return an origin's row without any shift: itself, else the nearest."""
+    """Return an origin's weights without shifts.
+
+    All to itself if it serves, else to the zones of its region, or if none
+    serves to all zones, in proportion to their slots.
+    """
     return _make_base_weights(config, origin, find_serving_zones(config, service))
 
 
@@ -56,13 +60,13 @@
 
 
 def make_targets(config, cap_by_origin_by_service):
-    """Return every ``Target`` by ``(service, origin)``."""
+    """Return every ``WeightTarget`` by ``(service, origin)``."""
     shift_by_row = {(s.service, s.from_zone): s for s in config.shift_by_name.values()}
     target_by_row = {}
     for service in config.service_by_name:
         kept = cap_by_origin_by_service.get(service, {})
-        # Once for all origins: found anew for each, the zones of thousands of
-        # upstreams would hold up heartbeats.
+        # Computed once for all origins: for thousands of upstreams, computing
+        # it for each origin would delay heartbeats.
         slots_by_zone = find_serving_zones(config, service)
         upstreams = config.service_by_name[service].upstream_by_id.values()
         upstream_zones = {upstream.availability_zone for upstream in upstreams}
@@ -74,8 +78,8 @@
             if shift:
                 target = _apply_shift(shift, base, slots_by_zone)
             elif origin not in upstream_zones:
-                # Nothing serves these callers where they are: only headroom
-                # bounds the move.
+                # No upstream serves these callers in their zone: only
+                # headroom bounds the move.
                 target = WeightTarget(base, 1.0, DEFAULT_STEP_S)
             else:
                 cap_share, step_s = kept.get(
--- a/godwitlanding/decisions/warmup.py
+++ b/godwitlanding/decisions/warmup.py
@@ -1,22 +1,22 @@
-"""Slow start: how many slots of a cold upstream may be used.
+"""Slow start: limits how many slots of a cold upstream may be used.
 
-Load pattern: an upstream has just started, or a zone takes over callers,
-and its caches are empty. The first requests take several times as long, and
-the pool's least busy upstream is just the cold one, so without slow start
-it is given its full share at once; callers see the slowest answers, and an
-upstream that sheds while it starts refuses work that a warm one would do.
+Load pattern: an upstream has just started, or a zone takes over callers, and
+its caches are empty. The first requests take several times as long, and the
+least busy upstream of the pool is the cold one, so without slow start it
+gets its full share at once; callers get the slowest answers, and an upstream
+that sheds while it starts refuses work that a warm one would do.
 
-The usable share of the slots rises in a straight line over the service's
-``slow_start_s`` and begins with one slot, since an upstream that is given
-no work never gets warm. With 3 slots that makes one slot for the first
-half of the time, two for the second half, then all.
+The usable share of the slots rises linearly over the service's
+``slow_start_s`` and begins with one slot, since an upstream that gets no
+work never becomes warm. With 3 slots that makes one slot for the first half
+of the time, two for the second half, then all.
 
 How long a cache takes to fill differs by service and hour, and a zone in
 which all upstreams are cold has only a third of its slots meanwhile. So the
-slow start ends early once 10 requests in a row took, as a geometric mean,
-no more than 1.5 times the usual time. Where upstreams are only slower while
-cold, slow start gains 7 to 9 % at p99 after a restart and nothing in a cold
-zone (``docs/decisions.rst``); it is for those that shed or fail besides.
+slow start ends early once 10 requests in a row took, as a geometric mean, no
+more than 1.5 times the usual time. If upstreams are only slower while cold,
+slow start improves p99 by 7 to 9 % after a restart and not at all in a cold
+zone (``docs/decisions.rst``); it is meant for those that also shed or fail.
 """
 
 from math import floor, log
@@ -34,41 +34,41 @@
 
 
 class Warmup:
-    """Since when each upstream has been warming up."""
+    """Tracks which upstreams are warming up, and since when."""
 
     def __init__(self, slow_start_s):
         self.slow_start_s = slow_start_s
         self._state_by_upstream = {}
 
     def note_cold(self, upstream_id, now):
-        """The upstream has just begun, or crashed and come back."""
+        """Start the warm-up of an upstream that has just (re)started."""
         if self.slow_start_s > 0:
             self._state_by_upstream[upstream_id] = _WarmupState(now)
 
     def note_warm(self, upstream_id):
-        """The upstream's own word, or the end of its warm-up."""
+        """End the upstream's warm-up."""
         self._state_by_upstream.pop(upstream_id, None)
 
     def note_work(self, upstream_id, relative_time):
-        """A request took that many times what such requests usually take."""
-        cold = self._state_by_upstream.get(upstream_id)
-        if cold is None:
+        """Record a request's duration as a multiple of the usual one."""
+        state = self._state_by_upstream.get(upstream_id)
+        if state is None:
             return
-        log_sum = cold.log_sum + log(max(_MIN_RELATIVE_TIME, relative_time))
-        cold = _WarmupState(cold.since, cold.samples + 1, log_sum)
-        if cold.samples == WARM_SAMPLES:
+        log_sum = state.log_sum + log(max(_MIN_RELATIVE_TIME, relative_time))
+        state = _WarmupState(state.since, state.samples + 1, log_sum)
+        if state.samples == WARM_SAMPLES:
             if log_sum <= WARM_SAMPLES * log(WARM_TIMES):
                 self.note_warm(upstream_id)
                 return
-            cold = _WarmupState(cold.since)
-        self._state_by_upstream[upstream_id] = cold
+            state = _WarmupState(state.since)
+        self._state_by_upstream[upstream_id] = state
 
     def get_share(self, upstream_id, now):
         """Return how warm the upstream is, from 0 to 1."""
-        cold = self._state_by_upstream.get(upstream_id)
-        if cold is None:
+        state = self._state_by_upstream.get(upstream_id)
+        if state is None:
             return 1.0
-        share = (now - cold.since) / self.slow_start_s
+        share = (now - state.since) / self.slow_start_s
         if share >= 1.0:
             self.note_warm(upstream_id)
         return min(1.0, max(0.0, share))
@@ -79,11 +79,11 @@
         return min(slots, 1 + floor(share * (slots - 1)))
 
     def get_next_time(self, upstream_id, slots, now):
-        """Return when the next slot opens, or ``None`` when all are."""
-        cold = self._state_by_upstream.get(upstream_id)
+        """Return when the next slot becomes usable, ``None`` if all are."""
+        state = self._state_by_upstream.get(upstream_id)
         usable = self.get_slots(upstream_id, slots, now)
-        if cold is None or usable >= slots:
+        if state is None or usable >= slots:
             return None
-        # A step later than worked out, so that rounding cannot make the
-        # time come back as due with the same number of slots for ever.
-        return cold.since + self.slow_start_s * usable / (slots - 1) + 1e-6
+        # Slightly later than computed, so that rounding cannot make the timer
+        # fire again and again with the same number of slots.
+        return state.since + self.slow_start_s * usable / (slots - 1) + 1e-6
--- a/godwitlanding/decisions/worktime.py
+++ b/godwitlanding/decisions/worktime.py
@@ -1,19 +1,18 @@
-"""How long the work of a service takes, and which upstreams are slow or fail.
+"""Measures services' work times, and detects slow or failing upstreams.
 
-An upstream that handled an object lately does the work in about a third of
-the time, so running means are kept for a service: *warm* for objects that an
-upstream knows, *cold* for those it does not. Requests about no object may be
-of quite another size and have a mean of their own: taken for first runs they
-would be refused for a time that they do not need, and hide how long first
-runs take.
+An upstream that handled an object recently needs about a third of the time,
+so moving means are kept by service: *warm* for objects that an upstream has
+cached, *cold* for others. Requests without an object may have quite another
+size and have their own mean: counted as cold requests, they would be refused
+for a time that they do not need, and hide how long cold requests take.
 
 Load pattern: one upstream takes five times as long as its peers or fails
-half of its requests while its health endpoint says that all is well. Failing
-quickly it looks idle and draws the most work. An upstream's factor is its
-own time over the mean that was to be expected; the share of failures is kept
-beside it. The newest answer weighs a tenth for a service, where dozens come
-each second, and a quarter for an upstream, which one VM hears from a few
-times a second, so that a slow one is known after about four answers.
+half of its requests while its health endpoint reports that it is healthy. If
+it fails quickly it looks idle and gets most of the work. An upstream's
+factor is its own time over the expected mean; its failure share is kept
+beside it. The newest answer weighs a tenth for a service, which has dozens
+each second, and a quarter for an upstream, of which one VM gets a few each
+second, so that a slow one is detected after about four answers.
 """
 
 from enum import Enum
@@ -21,55 +20,55 @@
 _SERVICE_WEIGHT = 0.1
 _UPSTREAM_WEIGHT = 0.25
 _FAILURE_WEIGHT = 0.2
-# The shares of a service are those of the last fifty answers.
+# The shares of a service cover about the last fifty answers.
 _SERVICE_FAILURE_WEIGHT = 0.02
 _SHARE_WEIGHT = 0.02
-# An upstream that fails half of its requests is worse than one that does
-# not know the object (three times as long for each), but only where others
-# fail less: when all upstreams of a service shed half of their requests,
-# passing over each that just did so sends every object everywhere, and first
-# runs fill the slots.
+# An upstream that fails half of its requests is worse than one that has not
+# cached the object (three times as long for each), but only if others fail
+# less: when all upstreams of a service shed half of their requests, skipping
+# each that just did so sends every object to every upstream, and cold
+# requests fill the slots.
 FAILING_SHARE = 0.5
 OUTLIER_MARGIN = 0.25
-# Before the first answer: the usual work of both users lies near these.
+# Before the first answer; the usual work times of both users are near these.
 INITIAL_WARM_S = 0.15
 INITIAL_COLD_S = 0.4
-# An upstream this many times slower than usual takes longer for an object
-# that it knows than others for one that they do not.
+# An upstream this many times slower than usual takes longer for a cached
+# object than others for one that they have not cached.
 SLOW_FACTOR = 2.5
 _MIN_FACTOR = 0.7
 _MAX_FACTOR = 20.0
-# One answer counts at most this many times the mean, so that a slow upstream
-# does not make its whole service look slow.
+# Limit of one sample as a multiple of the mean, so that a slow upstream does
+# not make its whole service look slow.
 _MAX_SAMPLE_TIMES = 2.0
 
 
 class Warmth(Enum):
-    """Whether an upstream knows the object of a request."""
+    """Whether an upstream has the object of a request cached."""
 
     WARM = "warm"
     COLD = "cold"
-    # The first request for the object that this VM sends there.
+    # The first request for the object that this VM sends to the upstream.
     UNSURE = "unsure"
-    # The request is about no object.
+    # The request has no object.
     NO_OBJECT = "no object"
 
 
 class WorkTimes:
-    """Running means by service and upstream, all in seconds."""
+    """Moving means by service and upstream; times are in seconds."""
 
     def __init__(self):
         self._mean_by_service = {}
         self._factor_by_upstream = {}
         self._failures_by_upstream = {}
         self._failures_by_service = {}
-        # Shares of the answers of a service: of first runs among those about
-        # objects, and of those about none.
+        # Shares of a service's answers: of cold ones among those with an
+        # object, and of those without an object.
         self._cold_share_by_service = {}
         self._objectless_share_by_service = {}
 
     def note_answer(self, service, upstream, work_s, warmth, waited):
-        """Take the time of an answer; ``waited``: it queued for a slot."""
+        """Record an answer's time; ``waited``: it queued for a slot."""
         self._update_failures(service, upstream, 0.0)
         if warmth is Warmth.UNSURE:
             middle = (self.get_warm_s(service) + self.get_cold_s(service)) / 2
@@ -78,35 +77,35 @@
             self._update_factor(service, upstream, work_s, warmth)
         self._update_shares(service, warmth)
         key = (service, warmth)
-        held = self._mean_by_service.get(key)
-        if held is None:
+        mean_s = self._mean_by_service.get(key)
+        if mean_s is None:
             self._mean_by_service[key] = work_s
-        elif not waited or work_s < held:
-            sample = min(work_s, _MAX_SAMPLE_TIMES * held)
-            self._mean_by_service[key] = held + _SERVICE_WEIGHT * (sample - held)
+        elif not waited or work_s < mean_s:
+            sample = min(work_s, _MAX_SAMPLE_TIMES * mean_s)
+            self._mean_by_service[key] = mean_s + _SERVICE_WEIGHT * (sample - mean_s)
 
     def note_failure(self, service, upstream):
-        """The upstream failed a request, shed it or did not answer."""
+        """Record that the upstream failed, shed or did not answer."""
         self._update_failures(service, upstream, 1.0)
 
     def get_warm_s(self, service):
-        """Return the work time of a service on objects that are known."""
+        """Return a service's mean work time for cached objects."""
         return self._mean_by_service.get((service, Warmth.WARM), INITIAL_WARM_S)
 
     def get_cold_s(self, service):
-        """Return the work time on objects that are not, never below warm."""
-        held = self._mean_by_service.get((service, Warmth.COLD), INITIAL_COLD_S)
-        return max(held, self.get_warm_s(service))
+        """Return the mean for objects not cached, at least the warm one."""
+        cold_s = self._mean_by_service.get((service, Warmth.COLD), INITIAL_COLD_S)
+        return max(cold_s, self.get_warm_s(service))
 
     def get_objectless_s(self, service):
-        """Return the work time of requests about no object."""
+        """Return the mean work time of requests without an object."""
         return self._mean_by_service.get((service, Warmth.NO_OBJECT), INITIAL_COLD_S)
 
     def get_mean_s(self, service):
-        """Return the mean work time of what is answered now.
+        """Return the mean work time of the current mix of requests.
 
-        A region whose upstreams learn objects carries less than one where
-        all are known: at one first run in ten a quarter less.
+        A region with cold requests has less capacity than one in which all
+        objects are cached: a quarter less with one cold request in ten.
         """
         warm_s = self.get_warm_s(service)
         cold_share = self._cold_share_by_service.get(service, 0.0)
@@ -119,7 +118,7 @@
         return self._factor_by_upstream.get(upstream, 1.0)
 
     def is_slow(self, upstream):
-        """Tell whether others should be preferred for its slowness."""
+        """Return whether others are preferred because it is slow."""
         return self.get_factor(upstream) >= SLOW_FACTOR
 
     def get_failure_share(self, upstream):
@@ -127,22 +126,22 @@
         return self._failures_by_upstream.get(upstream, 0.0)
 
     def is_failure_outlier(self, service, upstream):
-        """Tell whether an upstream fails more often than its service does."""
+        """Return whether it fails clearly more often than its service."""
         usual = self._failures_by_service.get(service, 0.0)
         return self.get_failure_share(upstream) > usual + OUTLIER_MARGIN
 
     def is_failing(self, service, upstream):
-        """Tell whether others should be preferred to the upstream."""
+        """Return whether others are preferred because it fails."""
         if self.get_failure_share(upstream) < FAILING_SHARE:
             return False
         return self.is_failure_outlier(service, upstream)
 
     def recover(self):
-        """Let factors and failure shares fade, so that each is tried again.
+        """Decay factors and failure shares, so that upstreams are retried.
 
-        Called once a second: a slow upstream that is passed over would keep
-        its bad name for ever, since nothing new is heard of it. Losing a
-        tenth a second, a factor of 5 is below 2 after 14 s.
+        Called once a second: a slow upstream that is skipped would otherwise
+        count as slow for ever, since it gets no requests that could show its
+        recovery. At a tenth per second, a factor of 5 is below 2 after 14 s.
         """
         for upstream, factor in self._factor_by_upstream.items():
             self._factor_by_upstream[upstream] = factor + 0.1 * (1.0 - factor)
@@ -150,13 +149,13 @@
             self._failures_by_upstream[upstream] *= 0.9
 
     def forget(self, upstream):
-        """Drop an upstream that is gone."""
+        """Remove the values of an upstream that is gone."""
         self._factor_by_upstream.pop(upstream, None)
         self._failures_by_upstream.pop(upstream, None)
 
     def _measures_speed(self, service, warmth):
-        # Where requests about objects come as well, those about none are
-        # light: their time tells more of the network than of the upstream.
+        # If a service also has requests with objects, those without are
+        # light: their time depends more on the network than on the upstream.
         if warmth is not Warmth.NO_OBJECT:
             return True
         return service not in self._cold_share_by_service
@@ -168,8 +167,8 @@
         elif warmth is Warmth.NO_OBJECT:
             usual = self.get_objectless_s(service)
         observed = min(_MAX_FACTOR, max(_MIN_FACTOR, work_s / max(usual, 0.001)))
-        held = self.get_factor(upstream)
-        self._factor_by_upstream[upstream] = held + _UPSTREAM_WEIGHT * (observed - held)
+        mean = self.get_factor(upstream)
+        self._factor_by_upstream[upstream] = mean + _UPSTREAM_WEIGHT * (observed - mean)
 
     def _update_shares(self, service, warmth):
         is_objectless = warmth is Warmth.NO_OBJECT
@@ -188,5 +187,5 @@
 
 
 def _update_share(share_by_service, service, observed):
-    held = share_by_service.get(service, 0.0)
-    share_by_service[service] = held + _SHARE_WEIGHT * (observed - held)
+    share = share_by_service.get(service, 0.0)
+    share_by_service[service] = share + _SHARE_WEIGHT * (observed - share)
--- a/godwitlanding/tests/decisions/test_allowances.py
+++ b/godwitlanding/tests/decisions/test_allowances.py
@@ -1,4 +1,4 @@
-"""How the room in a zone is shared out for spill."""
+"""Tests how the headroom of a zone is divided into spill allowances."""
 
 import pytest
 from hypothesis import given, settings, strategies as st
@@ -17,7 +17,7 @@
         (7.0, {"a": 0, "b": 0, "c": 0}, {"a": 1, "b": 1, "c": 1}),
     ],
 )
-def test_allowances_leave_room_for_those_still_in_use(headroom, in_use, expected):
+def test_allowances_exclude_what_is_still_in_use(headroom, in_use, expected):
     assert divide_headroom(headroom, in_use) == expected
 
 
@@ -32,15 +32,15 @@
         (0.5, {"a": 2}, {"a": 0}),
     ],
 )
-def test_small_headroom_is_not_rounded_away(headroom, in_use, expected):
-    """Payments have two upstreams a zone, and five zones might spill there.
+def test_small_headroom_is_not_rounded_down_to_nothing(headroom, in_use, expected):
+    """Payments have two upstreams per zone, and five zones may spill there.
 
-    With every share rounded down nobody could pass anything on: callers
-    were refused while slots next door stood idle.
+    If every share is rounded down to 0, no zone can spill: callers are
+    refused while slots in a neighbouring zone are idle.
     """
     shared = divide_headroom(headroom, in_use)
-    heard = set(in_use) - {"silent"}
-    assert divide_small_headroom(headroom, in_use, shared, heard) == expected
+    reporting = set(in_use) - {"silent"}
+    assert divide_small_headroom(headroom, in_use, shared, reporting) == expected
 
 
 @given(
--- a/godwitlanding/tests/decisions/test_cachesize.py
+++ b/godwitlanding/tests/decisions/test_cachesize.py
@@ -1,4 +1,4 @@
-"""How many objects an upstream remembers is learnt, whatever it is."""
+"""Tests that the cache size of upstreams is estimated from answers."""
 
 import random
 
@@ -7,28 +7,28 @@
 from godwitlanding.decisions.cachesize import CacheSizeEstimate
 
 
-@pytest.mark.parametrize("remembered", [5, 14, 19, 32, 50])
-def test_memory_is_learnt_from_answers(remembered):
-    # A figure from one deployment is wrong at the next one: too high, and
-    # forgotten objects are sent where they take three times the time.
+@pytest.mark.parametrize("cached", [5, 14, 19, 32, 50])
+def test_cache_size_is_estimated_from_answers(cached):
+    # A fixed size fits only one deployment. If it is too high, evicted objects
+    # are sent to an upstream where they take three times as long.
     draw = random.Random(1)
-    memory = CacheSizeEstimate()
+    estimate = CacheSizeEstimate()
     for _ in range(1000):
         depth = draw.randrange(60)
-        memory.note("s", depth, depth < remembered)
-    assert memory.get("s") == pytest.approx(remembered, abs=0.15 * remembered + 1)
+        estimate.note("s", depth, depth < cached)
+    assert estimate.get("s") == pytest.approx(cached, abs=0.15 * cached + 1)
 
 
-def test_objects_that_are_known_say_nothing_new():
-    memory = CacheSizeEstimate()
-    before = memory.get("s")
+def test_expected_answers_do_not_change_the_estimate():
+    estimate = CacheSizeEstimate()
+    before = estimate.get("s")
     for depth in range(5):
-        memory.note("s", depth, True)
-    assert memory.get("s") == before
+        estimate.note("s", depth, True)
+    assert estimate.get("s") == before
 
 
-def test_services_differ():
-    memory = CacheSizeEstimate()
+def test_services_have_separate_estimates():
+    estimate = CacheSizeEstimate()
     for _ in range(50):
-        memory.note("s", 4, False)
-    assert memory.get("s") < memory.get("t")
+        estimate.note("s", 4, False)
+    assert estimate.get("s") < estimate.get("t")
--- a/godwitlanding/tests/decisions/test_choice.py
+++ b/godwitlanding/tests/decisions/test_choice.py
@@ -1,4 +1,4 @@
-"""Which callers go where, and how many move when something changes."""
+"""Tests which callers go where, and how many move after a change."""
 
 import pytest
 
@@ -43,11 +43,11 @@
 
 
 @pytest.mark.parametrize("moved", [0.01, 0.1, 0.3])
-def test_shift_moves_only_its_share_and_only_its_way(moved):
+def test_shift_moves_only_its_share_and_only_in_its_direction(moved):
     """Operators shift a share of one zone's callers to another.
 
-    If more moved, or some moved back, the target would be hit by callers
-    that its allowance does not cover and its caches do not know.
+    If more moved, or some moved back, the target would get callers that its
+    allowance does not cover and whose data its caches do not hold.
     """
     before = first_zones({"a": 0.8, "b": 0.2})
     after = first_zones({"a": 0.8 - moved, "b": 0.2 + moved})
@@ -57,7 +57,7 @@
 
 
 def test_lost_vm_moves_only_its_own_callers():
-    """A VM dies, and every caller that did not use it stays where it is."""
+    """A VM fails; callers that did not use it keep their VM."""
     targets = make_targets("a", 6)
     for caller in CALLERS[:500]:
         before = rank_targets(caller, targets)
@@ -83,7 +83,7 @@
         (["a", "b", "a", "b", "c"], {"a": 2, "b": 2, "c": 2}, "aabc"),
     ],
 )
-def test_choices_are_the_zones_then_fallbacks(zones, counts, expected):
+def test_choices_are_targets_of_the_zone_then_fallbacks(zones, counts, expected):
     targets = {zone: make_targets(zone, count) for zone, count in counts.items()}
     chosen = choose_targets("10.0.0.1", zones, targets)
     assert "".join(target.availability_zone for target in chosen) == expected
@@ -130,10 +130,12 @@
         ((), BOTH, (), (), "a1 a2"),
     ],
 )
-def test_first_word_that_a_vm_leaves_wins(vms, members, leaving, drained, expected):
-    """One source says that a VM leaves while the others still lag.
+def test_vm_is_not_listed_once_any_source_reports_that_it_leaves(
+    vms, members, leaving, drained, expected
+):
+    """One source reports that a VM leaves while the others still lag.
 
-    A caller that is sent there all the same would be cut off.
+    A caller sent to that VM would be cut off.
     """
     by_zone = list_targets("a", vms, members, frozenset(leaving), frozenset(drained))
     named = [target.vm for targets in by_zone.values() for target in targets]
--- a/godwitlanding/tests/decisions/test_decisions.py
+++ b/godwitlanding/tests/decisions/test_decisions.py
@@ -1,4 +1,4 @@
-"""Load patterns, judged by what the callers receive, beside naive designs."""
+"""Checks what callers receive under load patterns, against naive designs."""
 
 from functools import cache
 from statistics import fmean
@@ -24,7 +24,7 @@
 
 @cache
 def run_pattern(workload, name, design=Pooled, seed=1):
-    """Run a design under a pattern and return what callers received."""
+    """Run a design under a pattern; return a summary of the answers."""
     pattern = make_patterns(workload)[name]
     return summarise(run_design(design, workload, pattern, seed), pattern)
 
@@ -38,11 +38,11 @@
 
 @pytest.mark.parametrize("times", [1.2, 2, 5])
 @both_workloads
-def test_overload_leaves_the_slots_useful(workload, times):
-    """More arrives than the slots can serve, for twenty seconds.
+def test_slots_do_useful_work_in_overload(workload, times):
+    """More requests arrive than the slots can serve, for twenty seconds.
 
-    Where the queue takes everything, slots work on requests whose callers
-    have left, and the callers see the service as down though it is busy.
+    With an unbounded queue, slots work on requests whose callers have given
+    up, and callers see the service as down though it is busy.
     """
     summary = run_pattern(workload, f"overload {times}x")
     assert summary.goodput >= 0.97
@@ -53,26 +53,26 @@
 
 
 @both_workloads
-def test_refusals_come_at_once(workload):
-    """Twice as much arrives as the slots can serve.
+def test_refusals_are_immediate(workload):
+    """Twice as many requests arrive as the slots can serve.
 
-    A caller that is held back and then refused has lost its time twice.
+    A caller that waits and is then refused has lost the time as well.
     """
     summary = run_pattern(workload, "overload 2x")
     assert summary.told_p99_s <= 0.01
 
 
 @pytest.mark.parametrize("design", [StaticShares, RoundRobin, Fifo])
-def test_naive_designs_lose_the_slots_in_overload(design):
-    """The same overload without early refusal: work is done for nobody."""
+def test_naive_designs_waste_the_slots_in_overload(design):
+    """Without early refusal, work is done after callers have given up."""
     assert run_pattern(LEGITKA, "overload 2x", design).goodput < 0.6
 
 
 @both_workloads
-def test_burst_is_over_when_it_ends(workload):
+def test_backlog_does_not_outlive_a_burst(workload):
     """Callers arrive at five times the usual rate for ten seconds.
 
-    A backlog that outlives the burst keeps callers waiting after it.
+    If the backlog outlives the burst, later callers wait as well.
     """
     summary = run_pattern(workload, "burst 5x 10 s")
     assert summary.goodput >= 0.97
@@ -83,7 +83,7 @@
 def test_pooled_queue_halves_the_waiting(workload):
     """At usual load a request waits at one VM while another has a slot.
 
-    Callers notice it as the slowest answers; one queue has no such waiting.
+    This shows in the slowest answers; a pooled queue avoids such waiting.
     """
     pooled = run_pattern(workload, "steady 70%")
     assert pooled.good == pooled.offered - pooled.refused
@@ -93,10 +93,10 @@
 
 
 @both_workloads
-def test_hot_caller_waits_behind_itself(workload):
+def test_hot_caller_does_not_delay_others(workload):
     """One caller's script sends ten times what each of the others sends.
 
-    Served in the order of arrival, everybody else waits behind it.
+    Served in order of arrival, all other callers wait behind its requests.
     """
     usual = run_pattern(workload, "steady 70%")
     hot = run_pattern(workload, "hot caller 10x")
@@ -107,8 +107,8 @@
 def test_hot_key_uses_all_upstreams():
     """Half of all requests are for the same page.
 
-    Where a key has an upstream of its own, that one is overloaded while the
-    others idle, and its callers are not answered in time.
+    If each key is bound to one upstream, that one is overloaded while the
+    others are idle, and its callers are not answered in time.
     """
     assert run_pattern(LEGITKA, "hot key").others_good == 1.0
     assert run_pattern(LEGITKA, "hot key", HashByKey).others_good < 0.9
@@ -117,8 +117,8 @@
 def test_slow_upstream_is_used_last():
     """One of four upstreams begins to take ten times as long.
 
-    A quarter of the callers would wait ten times as long, and its slots
-    would hold the queue up.
+    Otherwise a quarter of the callers would wait ten times as long, and its
+    slots would delay the queue.
     """
     slow = run_pattern(LEGITKA, "slow upstream 10x")
     assert slow.others_good >= 0.999
@@ -130,8 +130,8 @@
 def test_long_jobs_leave_slots_for_short_ones(workload):
     """One request in ten is a bundle that takes forty times as long.
 
-    Bundles gather in the slots; when they hold all of them, a crew that
-    wants a single sheet waits for a bundle to end.
+    Bundles accumulate in the slots; when they hold all of them, a request
+    for a single sheet waits for a bundle to end.
     """
     chosen = run_pattern(workload, "long among short")
     fifo = run_pattern(workload, "long among short", Fifo)
@@ -147,28 +147,28 @@
     """A zone with empty caches takes over another zone's callers.
 
     Each of the first requests takes several times as long, so the zone has
-    less to give than its slots suggest, and callers wait for seconds.
+    less capacity than its slots suggest, and callers wait for seconds.
     """
     summary = run_pattern(LEGITKA, name)
     assert summary.others_good >= good
     assert summary.p99_s <= p99_s
 
 
-def test_no_decision_rests_on_load_reports():
+def test_no_decision_depends_on_load_reports():
     """The upstreams' load reports stop arriving.
 
-    A design that goes by them sends everything to whichever upstream was
+    A design that depends on them sends everything to the upstream that was
     idle in the last report; its callers time out.
     """
     assert run_pattern(LEGITKA, "reports stop").others_good == 1.0
     assert run_pattern(LEGITKA, "reports stop", LeastLoaded).others_good < 0.5
 
 
-def test_retrying_callers_do_not_keep_the_system_down():
-    """Callers who get no answer press again at once, up to four times.
+def test_caller_retries_do_not_sustain_an_overload():
+    """Callers without an answer retry at once, up to four times.
 
-    After a short overload the repeated requests are an overload of their
-    own, and without early refusal it never ends.
+    After a short overload the retries are an overload of their own, and
+    without early refusal it never ends.
     """
     assert run_pattern(LEGITKA, "callers retry").recovery_s <= 5
     naive = run_pattern(LEGITKA, "callers retry", RoundRobin)
@@ -176,11 +176,11 @@
 
 
 @both_workloads
-def test_all_come_back_after_an_outage(workload):
-    """All upstreams fail for ten seconds and then everyone comes back.
+def test_recovery_when_all_callers_return_after_an_outage(workload):
+    """All upstreams fail for ten seconds and then all callers return.
 
-    Told nothing or all the same time, callers come back together and are
-    refused together, again and again.
+    With no Retry-After time or the same one for all, callers return together
+    and are refused together, again and again.
     """
     summary = run_pattern(workload, "all come back")
     assert summary.goodput >= 0.97
@@ -192,8 +192,8 @@
 def test_payments_are_refused_last(workload):
     """Bulk downloads ask for three times what the slots can serve.
 
-    A payment that is refused leaves a pensioner without a pass; there were
-    slots enough for every one of them.
+    A refused payment leaves its user without a ticket, although there are
+    enough slots for all payments.
     """
     summary = run_pattern(workload, "payments in overload")
     assert summary.others_good == 1.0
@@ -201,10 +201,10 @@
 
 
 @both_workloads
-def test_crashing_request_takes_two_upstreams_at_most(workload):
+def test_crashing_request_crashes_two_upstreams_at_most(workload):
     """A request crashes each upstream that runs it and is sent again.
 
-    Without a stop it takes every copy of the service within seconds.
+    If it is not stopped, it crashes every copy of the service within seconds.
     """
     assert run_pattern(workload, "crashing request").crashes <= 2
     assert run_pattern(workload, "crashing request", RoundRobin).crashes > 4
--- a/godwitlanding/tests/decisions/test_homes.py
+++ b/godwitlanding/tests/decisions/test_homes.py
@@ -1,4 +1,4 @@
-"""Objects keep to few upstreams, the same in every VM's eyes."""
+"""Tests that objects keep to few upstreams, the same on every VM."""
 
 import random
 from collections import Counter
@@ -29,7 +29,7 @@
         assert sorted(order) == sorted(UPSTREAMS)
 
 
-def test_each_upstream_is_home_to_no_more_objects_than_it_remembers():
+def test_each_upstream_is_home_to_a_limited_number_of_objects():
     homes = Homes()
     count = Counter(get_first(homes, str(key)) for key in range(62))
     assert max(count.values()) <= 24
@@ -52,8 +52,8 @@
         (6, 24, 1),
         (2, 62, 1),
         (100, 62, MAX_HOMES),
-        # Nothing is known yet: an object that is given four homes at first
-        # has to be learnt four times.
+        # The number of objects is unknown: an object that gets four homes at
+        # first causes four cold requests.
         (12, 0, 1),
         (100, 0, 1),
     ],
@@ -63,76 +63,77 @@
 
 
 @pytest.mark.parametrize(
-    ("unusable", "unsound", "expected"),
+    ("unusable", "unhealthy", "expected"),
     [
-        pytest.param("", "", ["a", "b"], id="all sound"),
-        pytest.param("", "a", ["b", "c"], id="the next takes its place"),
-        pytest.param("b", "", ["a", "c"], id="one may not be used"),
-        pytest.param("", "abc", ["a", "b", "c"], id="none sound"),
-        pytest.param("b", "ac", ["a", "c"], id="none sound, one not to be used"),
-        pytest.param("abc", "", [], id="none may be used"),
+        pytest.param("", "", ["a", "b"], id="all healthy"),
+        pytest.param("", "a", ["b", "c"], id="unhealthy one is replaced by the next"),
+        pytest.param("b", "", ["a", "c"], id="one unusable"),
+        pytest.param("", "abc", ["a", "b", "c"], id="none healthy"),
+        pytest.param("b", "ac", ["a", "c"], id="none healthy, one unusable"),
+        pytest.param("abc", "", [], id="none usable"),
     ],
 )
-def test_pick_homes(unusable, unsound, expected):
+def test_pick_homes(unusable, unhealthy, expected):
     homes = pick_homes(
         ["a", "b", "c"],
         2,
         lambda upstream: upstream not in unusable,
-        lambda upstream: upstream not in unsound,
+        lambda upstream: upstream not in unhealthy,
     )
     assert homes == expected
 
 
 class CachingUpstream:
-    """An upstream that knows the objects that it handled last."""
+    """Model of an upstream that caches the objects that it handled last."""
 
     def __init__(self):
-        self._known = []
+        self._cached = []
 
     def handle(self, key):
-        """Return whether the object was known."""
-        known = key in self._known
-        if known:
-            self._known.remove(key)
-        self._known = [*self._known[-15:], key]
-        return known
-
-
-def test_overload_does_not_push_out_what_is_known():
-    # Requests come faster than their objects' homes can carry. Sent to
-    # whichever upstream is free, each would meet one that does not know its
-    # object, and take three times as long just when slots are short.
+        """Handle a request; return whether the object was cached."""
+        cached = key in self._cached
+        if cached:
+            self._cached.remove(key)
+        self._cached = [*self._cached[-15:], key]
+        return cached
+
+
+def test_overload_does_not_evict_cached_objects():
+    # Requests arrive faster than the homes of their objects can serve. Sent to
+    # any free upstream, each would be a cold request there and take three
+    # times as long just when slots are scarce.
     homes = Homes()
     model_by_upstream = {upstream: CachingUpstream() for upstream in UPSTREAMS}
     keys = [str(key) for key in range(62)]
     for key in keys:
         homes.note_object("s", key)
-    known = 0
+    cached = 0
     for turn in range(40):
         for key in keys:
             order = homes.get_order("s", key, UPSTREAMS)
             count = homes.get_count("s", len(UPSTREAMS))
             picked = pick_homes(order, count, lambda _: True, lambda _: True)
-            known += model_by_upstream[picked[turn % count]].handle(key)
+            cached += model_by_upstream[picked[turn % count]].handle(key)
     assert CACHED_OBJECTS < 16
-    assert known / (40 * 62) > 0.85
+    assert cached / (40 * 62) > 0.85
 
 
 @pytest.mark.parametrize("objects", [24, 62, 258, 1000])
 @pytest.mark.parametrize("share", [0.3, 0.6, 1.0, 4.0])
-def test_objects_are_estimated_before_each_was_met(objects, share):
-    # In its first seconds a VM meets few of the objects. Taking those for
-    # all, it would give each several homes, and all of them have to learn it.
+def test_objects_are_estimated_before_each_was_requested(objects, share):
+    # In its first seconds a VM gets requests for few of the objects. If it
+    # took those for all, it would give each several homes, and each home would
+    # get a cold request for it.
     weights = [(rank + 1) ** -0.2 for rank in range(objects)]
     requests = max(20, round(share * objects))
     estimates = []
     for seed in range(15):
-        met = random.Random(seed).choices(range(objects), weights, k=requests)
-        estimates.append(estimate_objects(len(set(met)), requests))
+        requested = random.Random(seed).choices(range(objects), weights, k=requests)
+        estimates.append(estimate_objects(len(set(requested)), requests))
     assert 0.8 * objects <= median(estimates) <= 1.3 * objects
 
 
-def test_objects_that_never_repeat_are_many():
+def test_estimate_is_high_if_no_object_repeats():
     assert estimate_objects(50, 50) > 1000
     assert estimate_objects(5000, 5000) == 10_000
 
--- a/godwitlanding/tests/decisions/test_lease.py
+++ b/godwitlanding/tests/decisions/test_lease.py
@@ -1,4 +1,4 @@
-"""Who holds a lease, by each process's own clock."""
+"""Tests who holds a lease, by the clock of each process."""
 
 import pytest
 
@@ -8,15 +8,15 @@
 @pytest.mark.parametrize(
     ("seen_at", "now", "attempts"), [(0.0, 5.9, False), (0.0, 6.1, True)]
 )
-def test_lease_is_taken_when_no_renewal_was_seen(seen_at, now, attempts):
-    """The holder dies; only the observer's own clock says how long ago."""
+def test_lease_is_taken_if_no_renewal_was_seen(seen_at, now, attempts):
+    """The holder crashes; only the observer's own clock measures the time."""
     candidate = LeaseCandidate("b", 6.0)
     candidate.observe(Lease("a", 4), 10, seen_at)
     candidate.observe(Lease("a", 4), 10, now)
     assert (candidate.get_attempt(now) is not None) is attempts
 
 
-def test_renewal_keeps_others_away():
+def test_renewed_lease_is_not_taken_by_others():
     candidate = LeaseCandidate("b", 6.0)
     for second in range(30):
         candidate.observe(Lease("a", second // 2), 10 + second // 2, float(second))
@@ -24,10 +24,10 @@
 
 
 @pytest.mark.parametrize(("paused_until", "holds"), [(5.0, True), (6.5, False)])
-def test_paused_holder_knows_that_its_lease_lapsed(paused_until, holds):
-    """The holder is paused past the lease and goes on believing.
+def test_lease_expires_while_its_holder_is_paused(paused_until, holds):
+    """The holder is paused for longer than the lease and then continues.
 
-    It must look at the time again before it plans.
+    It must check the time again before it plans.
     """
     candidate = LeaseCandidate("a", 6.0)
     candidate.observe(None, 0, 0.0)
@@ -36,8 +36,11 @@
     assert candidate.holds(paused_until) is holds
 
 
-def test_lost_answer_to_a_renewal_is_read_back():
-    """The write took effect, its answer was lost; it counts from the write."""
+def test_write_whose_response_was_lost_is_found_by_reading():
+    """A write took effect, but its response was lost.
+
+    The lease is valid from when the write was sent.
+    """
     candidate = LeaseCandidate("a", 6.0)
     candidate.observe(None, 0, 0.0)
     attempt = candidate.get_attempt(0.0)
@@ -47,7 +50,7 @@
 
 
 def test_two_candidates_do_not_both_hold():
-    """Two observers see the same lapse and write at once; one is refused."""
+    """Two observers see the lease expire and write at once; one fails."""
     candidates = [LeaseCandidate(name, 6.0) for name in "bc"]
     for candidate in candidates:
         candidate.observe(Lease("a", 4), 10, 0.0)
@@ -66,8 +69,8 @@
         pytest.param(None, 0, id="is not there"),
     ],
 )
-def test_lease_of_a_restored_platform_is_not_taken_from_its_lost_holder(lease, version):
-    """The platform has lost a lease that another one may still believe in."""
+def test_lease_rolled_back_by_a_restore_is_not_taken_at_once(lease, version):
+    """The platform lost a lease that its holder may still rely on."""
     candidate = LeaseCandidate("b", 6.0)
     candidate.observe(Lease("a", 4), 10, 0.0)
     candidate.observe(lease, version, 1.0)
@@ -76,7 +79,7 @@
     assert candidate.get_attempt(7.1) == Lease("b", 4 if lease else 1)
 
 
-def test_holder_renews_the_lease_that_a_restored_platform_still_names():
+def test_holder_renews_its_lease_after_a_restore():
     candidate = LeaseCandidate("a", 6.0)
     candidate.observe(None, 0, 0.0)
     first = candidate.get_attempt(0.0)
--- a/godwitlanding/tests/decisions/test_objectmap.py
+++ b/godwitlanding/tests/decisions/test_objectmap.py
@@ -1,4 +1,4 @@
-"""Objects stay where they are known."""
+"""Tests the map of the objects that upstreams have cached."""
 
 import pytest
 
@@ -11,8 +11,9 @@
 )
 
 
-def test_meeting_is_told_once_and_again_after_a_while():
-    # A peer that missed the word would have the object learnt elsewhere.
+def test_entry_is_announced_once_and_again_after_an_interval():
+    # A peer that missed the announcement would send the object to another
+    # upstream, where its first request is cold.
     object_map = ObjectMap()
     cache_entry = CacheEntry(1, 7)
     announced = [
@@ -21,7 +22,7 @@
     assert announced == [True, False, True]
 
 
-def test_what_a_peer_told_is_known():
+def test_entry_announced_by_a_peer_is_listed():
     object_map = ObjectMap()
     object_map.hear(CacheEntry(1, 7), 0.0)
     assert set(object_map.get_upstreams(7)) == {1}
@@ -29,9 +30,9 @@
     assert object_map.count_known(1) == 1
 
 
-def test_upstream_is_not_taken_to_know_more_than_it_can_remember():
-    # An upstream remembers a few dozen objects. One that it forgot long ago
-    # and is still sent for takes three times the time that is expected.
+def test_oldest_entries_of_an_upstream_are_dropped():
+    # An upstream caches a few dozen objects. A request for one that it evicted
+    # long ago takes three times the expected time.
     object_map = ObjectMap()
     for key in range(MAX_KNOWN):
         object_map.note(CacheEntry(1, key), 0.0)
@@ -43,24 +44,24 @@
 
 
 @pytest.mark.parametrize(
-    "lose",
+    "remove",
     [
-        pytest.param(lambda m: m.forget(1), id="upstream is gone"),
-        pytest.param(lambda m: m.drop(CacheEntry(1, 7)), id="it did not get it"),
-        pytest.param(lambda m: m.keep_only({2}), id="no longer listed"),
+        pytest.param(lambda m: m.forget(1), id="upstream removed"),
+        pytest.param(lambda m: m.drop(CacheEntry(1, 7)), id="object not sent"),
+        pytest.param(lambda m: m.keep_only({2}), id="upstream no longer listed"),
     ],
 )
-def test_lost_upstream_knows_nothing(lose):
+def test_removed_entry_is_not_listed(remove):
     object_map = ObjectMap()
     object_map.note(CacheEntry(1, 7), 0.0)
     object_map.note(CacheEntry(2, 7), 0.0)
-    lose(object_map)
+    remove(object_map)
     assert set(object_map.get_upstreams(7)) == {2}
-    # It is told anew when it meets the object once more.
+    # It is announced again when the upstream is sent the object again.
     assert object_map.note(CacheEntry(1, 7), 0.1)
 
 
-def test_first_meetings_of_late_are_counted():
+def test_recently_added_entries_are_counted():
     object_map = ObjectMap()
     for key, at in ((1, 0.0), (2, 5.0), (3, 5.5)):
         object_map.note(CacheEntry(1, key), at)
@@ -68,11 +69,11 @@
     assert object_map.count_added_since(1, 4.0) == 2
 
 
-def test_services_may_have_objects_of_the_same_name():
+def test_services_may_have_objects_with_the_same_key():
     assert get_object_number("a", "1") != get_object_number("b", "1")
 
 
-def test_vm_that_starts_is_told_all():
+def test_entries_for_a_starting_vm_are_limited():
     object_map = ObjectMap()
     for key in range(5):
         object_map.note(CacheEntry(1, key), 0.0)
--- a/godwitlanding/tests/decisions/test_occupancy.py
+++ b/godwitlanding/tests/decisions/test_occupancy.py
@@ -1,4 +1,4 @@
-"""How many requests an upstream has, as one VM knows it."""
+"""Tests how many requests an upstream has, as estimated by one VM."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 V = get_upstream_number("v")
 
 
-def test_own_and_peers_add_up():
+def test_own_and_peer_counts_add_up():
     occupancy = Occupancy()
     occupancy.begin("u")
     occupancy.begin("u")
@@ -27,9 +27,9 @@
     assert occupancy.get_own_by_number() == {U: 1}
 
 
-def test_silent_peer_no_longer_counts():
-    # A VM is killed with three requests in progress. If its last word stood,
-    # the slots would look taken for good, and idle.
+def test_counts_of_a_silent_peer_are_dropped():
+    # A VM is killed with three requests in progress. If its last message still
+    # counted, the slots would look occupied for ever and stay idle.
     occupancy = Occupancy()
     occupancy.note_peer("a", {U: 3}, 0.0)
     occupancy.drop_silent(PEER_TIMEOUT_S - 0.1)
@@ -39,9 +39,9 @@
 
 
 @pytest.mark.parametrize(("share", "expected"), [(0.0, 5), (0.5, 3), (1.5, 1)])
-def test_what_only_the_upstream_knows_of_fades(share, expected):
-    # A VM that is cut off from its peers shares upstreams with them all the
-    # same. Without the upstream's own report it would fill their queues.
+def test_unattributed_requests_decay(share, expected):
+    # A VM that is partitioned from its peers still shares upstreams with them.
+    # Without the upstream's own report it would fill their queues.
     occupancy = Occupancy()
     occupancy.begin("u")
     occupancy.note_report("u", 5, 10.0)
@@ -49,7 +49,7 @@
     assert occupancy.get("u", moment) == pytest.approx(expected)
 
 
-def test_report_that_agrees_adds_nothing():
+def test_report_equal_to_the_counts_adds_nothing():
     occupancy = Occupancy()
     occupancy.begin("u")
     occupancy.note_peer("a", {U: 2}, 0.0)
--- a/godwitlanding/tests/decisions/test_placing.py
+++ b/godwitlanding/tests/decisions/test_placing.py
@@ -1,4 +1,4 @@
-"""Where a request goes, and which are refused at once."""
+"""Tests the choice of an upstream, and which requests are refused at once."""
 
 import pytest
 
@@ -27,7 +27,7 @@
     ("occupied", "expected"),
     [(0, 0.0), (2.9, 0.0), (3, 0.1), (6, 0.5)],
 )
-def test_wait_grows_with_what_is_in_progress(occupied, expected):
+def test_wait_grows_with_requests_in_progress(occupied, expected):
     assert estimate_wait_s(occupied, 3, 0.4) == pytest.approx(expected)
 
 
@@ -40,7 +40,7 @@
             {"occupied": 4},
             {"rank": 1, "work_s": 0.35},
             "first",
-            id="a short wait rather than an upstream that does not know the object",
+            id="a short wait rather than an upstream without the cached object",
         ),
         pytest.param(
             {"occupied": 6.5, "usual_s": 0.3},
@@ -49,16 +49,16 @@
             id="another upstream rather than a long wait",
         ),
         pytest.param(
-            {"failure_share": 0.6}, {"rank": 1}, "second", id="one that fails"
+            {"failure_share": 0.6}, {"rank": 1}, "second", id="failing upstream"
         ),
         pytest.param(
-            {"distance_s": 0.11}, {"rank": 1}, "second", id="one that is far away"
+            {"distance_s": 0.11}, {"rank": 1}, "second", id="distant upstream"
         ),
         pytest.param(
             {"occupied": 3 * (1 + MAX_WAITING_PER_SLOT)},
             {"rank": 1, "work_s": 9.0},
             "second",
-            id="one whose queue is nearly full",
+            id="upstream whose queue is nearly full",
         ),
     ],
 )
@@ -81,12 +81,12 @@
     [
         pytest.param(0, 0.1, 0.4, 2.0, False, True, id="in time"),
         pytest.param(5, 0.1, 0.4, 2.0, False, True, id="in time after a wait"),
-        pytest.param(0, 0.5, 0.4, 2.0, False, True, id="late for its length"),
-        pytest.param(3, 0.5, 0.4, 2.0, False, True, id="late, hardly waits"),
-        pytest.param(6, 0.3, 0.4, 2.0, False, False, id="late for the wait"),
-        pytest.param(4, 0.5, 0.4, 2.0, True, True, id="came back"),
-        pytest.param(6, 0.3, 0.4, 2.0, True, False, id="came back to a long wait"),
-        pytest.param(0, 0.5, 0.4, 0.3, False, False, id="caller has left by then"),
+        pytest.param(0, 0.5, 0.4, 2.0, False, True, id="late because of its length"),
+        pytest.param(3, 0.5, 0.4, 2.0, False, True, id="late, with a short wait"),
+        pytest.param(6, 0.3, 0.4, 2.0, False, False, id="late because of the wait"),
+        pytest.param(4, 0.5, 0.4, 2.0, True, True, id="retried after a refusal"),
+        pytest.param(6, 0.3, 0.4, 2.0, True, False, id="retried, with a long wait"),
+        pytest.param(0, 0.5, 0.4, 0.3, False, False, id="caller has given up by then"),
     ],
 )
 def test_is_worth_taking(occupied, work_s, to_target_s, left_s, came_back, expected):
@@ -101,33 +101,33 @@
     ("to_target_s", "left_s", "expected"),
     [
         pytest.param(0.8, 2.5, True, id="late, with time to spare"),
-        pytest.param(0.8, 1.9, False, id="late, and maybe cut off"),
-        pytest.param(1.8, 1.9, True, id="in time for its target"),
+        pytest.param(0.8, 1.9, False, id="late, and possibly cut off"),
+        pytest.param(1.8, 1.9, True, id="within its target"),
     ],
 )
-def test_work_that_may_be_cut_off_is_not_begun(to_target_s, left_s, expected):
-    # A payment is expected to end a moment before its route's time is over.
-    # When it lasts a little longer it is cut off, its caller is told nothing
-    # certain, and may not send it again. Refused at once, it could come back.
+def test_request_that_may_be_cut_off_is_refused(to_target_s, left_s, expected):
+    # A payment is expected to end just before its route's deadline. If it
+    # takes a little longer it is cut off; its caller does not learn the
+    # outcome and may not send it again. If refused at once, it can be retried.
     placement = place([BASE_CANDIDATE._replace(work_s=1.6, usual_s=1.6)])
     assert is_worth_taking(placement, to_target_s, left_s) is expected
 
 
 @pytest.mark.parametrize(
-    ("learning", "in_progress", "expected_s"),
+    ("cold_requests", "in_progress", "expected_s"),
     [(0, 4, 0.2), (4, 4, 0.8), (2, 4, 0.5), (3, 0, 0.2), (9, 2, 0.8)],
 )
-def test_first_meetings_make_the_wait_longer(learning, in_progress, expected_s):
-    # Four first meetings fill an upstream. Who comes next waits for one of
-    # them to end, not for work that is done in a quarter of the time.
-    assert mix_work_s(0.2, 0.8, learning, in_progress) == pytest.approx(expected_s)
+def test_cold_requests_make_the_wait_longer(cold_requests, in_progress, expected_s):
+    # Four cold requests fill an upstream. The next request waits for one of
+    # them to end, not for cached work that takes a quarter of the time.
+    assert mix_work_s(0.2, 0.8, cold_requests, in_progress) == pytest.approx(expected_s)
 
 
 def serve_burst(slots, arrivals_s, work_s, target_s):
-    """Play requests for known objects of one upstream; count those in time.
+    """Simulate requests for cached objects; return counts in time and refused.
 
-    What is refused is not sent anywhere else here: an upstream that does not
-    know the object would need three times as long.
+    There is one upstream, and refused requests are not sent elsewhere: an
+    upstream without the cached object would need three times as long.
     """
     ends = []
     in_time = refused = 0
@@ -140,7 +140,7 @@
         if placement is None or placement.finish_s > target_s:
             refused += 1
             continue
-        # The earliest of the slots that are taken is the next one free.
+        # The slot whose request ends first is the next free one.
         busy = sorted(ends)
         begin = at if len(busy) < slots else busy[len(busy) - slots]
         ends.append(begin + work_s)
@@ -149,11 +149,11 @@
 
 
 @pytest.mark.parametrize("slots", [3, 4, 9])
-def test_burst_waits_where_its_objects_are_known(slots):
-    # A burst asks one upstream for objects that it knows, 1.7 times as fast as
-    # it works, for two seconds. Known work is done long before the target, so
-    # many can wait. Of 61 callers of nine slots 13 are refused; were four
-    # allowed to wait whatever the slots are, it would be 21.
+def test_burst_waits_at_the_upstream_that_cached_its_objects(slots):
+    # A burst of requests for objects cached by one upstream arrives at 1.7
+    # times its service rate, for two seconds. Cached work takes far less than
+    # the target latency, so many can wait. Of 61 callers at nine slots 13 are
+    # refused; with a fixed limit of four waiting requests it would be 21.
     work_s = 0.5
     rate = 1.7 * slots / work_s
     arrivals_s = [number / rate for number in range(int(2.0 * rate))]
--- a/godwitlanding/tests/decisions/test_planner.py
+++ b/godwitlanding/tests/decisions/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner moves callers by small steps into room that is there."""
+"""Tests that the planner moves callers by capped steps into free headroom."""
 
 import json
 
@@ -40,7 +40,7 @@
 
 
 class PlannerHarness:
-    """A planner, the platform's plan and three zones that report."""
+    """Simulates a planner, the platform's plan and three reporting zones."""
 
     def __init__(self, config):
         self.config = config
@@ -50,7 +50,7 @@
         self.sequence = 0
         self.demand_by_zone = dict.fromkeys(ZONES, 2.0)
         self.store_row = {}
-        self.silent = set()
+        self.silent_zones = set()
         self.behind = set()
         self.warm = 1.0
         self.plan_version_by_zone = dict.fromkeys(ZONES, 0)
@@ -62,7 +62,7 @@
         self.start_planner()
 
     def start_planner(self):
-        """Start a planner that knows nothing."""
+        """Start a planner without state."""
         self.demand = Demand(8.0)
         self.planner = Planner(self.demand, MAX_AGE_S, self.now)
         if self.plan:
@@ -70,7 +70,7 @@
 
     def report(self):
         for zone in ZONES:
-            if zone in self.silent:
+            if zone in self.silent_zones:
                 continue
             if zone not in self.behind:
                 self.plan_version_by_zone[zone] = self.version
@@ -114,7 +114,7 @@
                     self.moves.append((self.now, self.get_moved() - before))
 
     def check_allowances(self):
-        """Note a target that was granted more than its headroom."""
+        """Record targets that were granted more than their headroom."""
         granted = self.plan.allowance_by_zones_by_service["status"]
         for zone in ZONES:
             into = sum(n for pair, n in granted.items() if pair.endswith(f">{zone}"))
@@ -122,9 +122,10 @@
                 self.overgranted.append((self.now, zone, into))
 
     def get_max_moved(self, window_s):
-        """Return the most that moved within any window, late answers too.
+        """Return the largest share moved within any window.
 
-        A caller may act on a step up to ``MAX_AGE_S`` after it was made.
+        Includes cached answers: a caller may act on a step up to
+        ``MAX_AGE_S`` after it was made.
         """
         most = 0.0
         for at, _ in self.moves:
@@ -137,7 +138,7 @@
         return most
 
 
-def test_shift_arrives_by_capped_steps():
+def test_shift_completes_in_capped_steps():
     harness = PlannerHarness(make_config(make_shift()))
     harness.run(100)
     assert harness.get_moved() == pytest.approx(0.6)
@@ -147,11 +148,11 @@
 
 
 @pytest.mark.parametrize("restart_s", [0.5, 4, 9, 14])
-def test_planner_that_starts_afresh_waits_in_full(restart_s):
-    """The planner dies right after a step and another takes over.
+def test_restarted_planner_waits_in_full(restart_s):
+    """The planner crashes right after a step and another one takes over.
 
-    Counting from its own start it would step at once, and callers of both
-    steps would arrive within one step time.
+    If it did not wait from when it first saw the plan it would step at once,
+    and callers of both steps would arrive within one step time.
     """
     harness = PlannerHarness(make_config(make_shift()))
     while not harness.moves:
@@ -166,7 +167,7 @@
 
 
 def stop_summaries(harness):
-    harness.silent = {"b"}
+    harness.silent_zones = {"b"}
 
 
 def keep_old_plan(harness):
@@ -195,10 +196,10 @@
         (pause_shift, 6),
     ],
 )
-def test_shift_stops(fault, after_s):
-    """Measurements stop, a zone is cut off with an old plan, caches are cold.
+def test_shift_stops_on_fault(fault, after_s):
+    """Summaries stop, a zone keeps an old plan, or caches are cold.
 
-    Stepping on would send callers where nobody knows what they meet.
+    Further steps would send callers to a zone of unknown state.
     """
     harness = PlannerHarness(make_config(make_shift()))
     while not harness.moves:
@@ -214,10 +215,10 @@
 @pytest.mark.parametrize("outage_s", [1, 5, 20, 90])
 @pytest.mark.parametrize("answers_lost", [False, True])
 def test_outage_in_the_middle_of_a_shift(outage_s, answers_lost):
-    """The platform goes away during a shift, or takes a step unanswered.
+    """The platform fails during a shift, or stores a step but does not answer.
 
-    The shift goes on afterwards as if the step had been made just then;
-    it makes nothing up for the time lost.
+    Afterwards the shift continues as if the step had just been made; it does
+    not catch up for the lost time.
     """
     harness = PlannerHarness(make_config(make_shift()))
     while not harness.moves:
@@ -235,8 +236,8 @@
 
 
 @pytest.mark.parametrize("config", [make_config(), make_config(make_shift(0.0))])
-def test_way_back_is_capped_too(config):
-    """The operators take a shift out of the text when it has arrived."""
+def test_removed_shift_is_reverted_in_capped_steps(config):
+    """The operators remove a completed shift from the configuration."""
     harness = PlannerHarness(make_config(make_shift()))
     harness.run(100)
     harness.moves.clear()
@@ -246,7 +247,7 @@
     assert harness.get_max_moved(STEP_S) <= CAP + 1e-9
 
 
-def test_step_is_no_larger_than_the_room():
+def test_step_is_no_larger_than_the_headroom():
     """The target's region has little headroom left."""
     harness = PlannerHarness(make_config(make_shift(1.0)))
     harness.demand_by_zone = {"a": 8.0, "b": 2.0, "c": 7.2}
@@ -256,21 +257,22 @@
         for pair, amount in harness.plan.allowance_by_zones_by_service["status"].items()
         if pair.endswith(">c")
     )
-    # Nothing in the rig follows the callers, so each step sees 0.8 free.
+    # The harness does not move demand with the callers, so each step sees 0.8
+    # free slots.
     assert all(moved * 8.0 <= 0.8 + 1e-6 for _, moved in harness.moves)
     assert granted <= 0.8
 
 
 @pytest.mark.parametrize(("busy", "moves"), [(2, True), (8, False)])
-def test_shift_needs_room_in_what_the_service_calls(busy, moves):
-    """Callers of a service move, and the service it calls there is full."""
+def test_shift_needs_headroom_in_dependencies(busy, moves):
+    """Callers move to a zone where a dependency of the service is full."""
     harness = PlannerHarness(make_config(make_shift(), depends_on='["store"]'))
     harness.store_row = {"busy": busy}
     harness.run(40)
     assert bool(harness.moves) is moves
 
 
-def test_drained_zone_is_emptied_by_capped_steps():
+def test_drained_zone_is_emptied_in_capped_steps():
     harness = PlannerHarness(make_config(drains='{what:"availability_zone",name:"a"}'))
     harness.run(5)
     assert harness.plan.get_weights("status", "a") == {"a": 1.0}
@@ -278,15 +280,15 @@
     assert harness.plan.get_weights("status", "a") == {"b": 1.0}
 
 
-def test_allowance_of_a_zone_that_is_cut_off_stays_reserved():
-    """A zone is cut off with an allowance, and the target fills up.
+def test_allowance_of_a_partitioned_zone_stays_reserved():
+    """A zone with an allowance is partitioned, and the target fills up.
 
-    Granting its part to another zone would let both send at once.
+    If its part were granted to another zone, both could spill at once.
     """
     harness = PlannerHarness(make_config())
     harness.run(20)
     before = harness.plan.allowance_by_zones_by_service["status"]["a>c"]
-    harness.silent = {"a"}
+    harness.silent_zones = {"a"}
     harness.demand_by_zone["c"] = 6.0
     harness.run(30)
     reserved = harness.plan.outstanding_by_zones_by_service["status"]
@@ -313,16 +315,16 @@
     deadline=None,
     suppress_health_check=list(HealthCheck),
 )
-def test_no_schedule_passes_cap_or_headroom(events):
-    """Planners come and go, measurements stop, operators change their mind."""
+def test_no_schedule_exceeds_cap_or_headroom(events):
+    """Planners restart, summaries stop, operators change shifts."""
     harness = PlannerHarness(make_config(make_shift()))
     for event, size in events:
         if event == "restart":
             harness.start_planner()
         elif event == "silent":
-            harness.silent = {ZONES[int(size * 2.99)]}
+            harness.silent_zones = {ZONES[int(size * 2.99)]}
         elif event == "heard":
-            harness.silent = set()
+            harness.silent_zones = set()
         elif event == "load":
             harness.demand_by_zone["c"] = round(size * 10, 1)
         elif event == "share":
--- a/godwitlanding/tests/decisions/test_policies.py
+++ b/godwitlanding/tests/decisions/test_policies.py
@@ -1,4 +1,4 @@
-"""The small pure modules that decisions are made of."""
+"""Tests the smaller decision modules, and their use by the arbiter."""
 
 import pytest
 
@@ -31,23 +31,25 @@
 
 
 def ask(arbiter, name, now=0.0, lasts_s=2.0, **fields):
-    """Ask for a slot; return the request's own outcome, if there is one."""
+    """Request a slot; return the outcome of this request, if any."""
     fields = {"caller": name, "priority": 1, **fields}
     request = Ask(name, deadline=now + lasts_s, **fields)
     decisions = dict(arbiter.acquire(request, now))
     return decisions.get(name)
 
 
-@pytest.mark.parametrize(("first_tries", "retries"), [(0, 10), (100, 20), (1000, 110)])
-def test_retries_stay_a_share_of_first_tries(first_tries, retries):
-    """An upstream fails everything and each failure is tried again.
+@pytest.mark.parametrize(
+    ("first_attempts", "retries"), [(0, 10), (100, 20), (1000, 110)]
+)
+def test_retries_are_limited_to_a_share_of_first_attempts(first_attempts, retries):
+    """An upstream fails all requests and each failure is retried.
 
-    Retries without a budget are a load of their own that keeps a struggling
-    service down; callers see an outage outlast its cause.
+    Retries without a budget add load that keeps a struggling service down;
+    callers see an outage that outlasts its cause.
     """
     budget = RetryTokenBucket()
     sent = 0
-    for _ in range(first_tries):
+    for _ in range(first_attempts):
         budget.note_first_attempt(0.0)
         sent += budget.may_retry(0.0)
     sent += sum(budget.may_retry(0.0) for _ in range(100))
@@ -64,19 +66,19 @@
         (["s1", "s2"], STOP_S + 1, False),
     ],
 )
-def test_fingerprint_is_stopped_after_two_upstreams(crashed, later_s, stopped):
-    """A request crashes whatever runs it; its caller sends it again."""
+def test_fingerprint_is_stopped_after_two_crashed_upstreams(crashed, later_s, stopped):
+    """A request crashes each upstream that runs it, and is sent again."""
     ledger = PoisonLedger()
     for upstream in crashed:
         ledger.note_crash(POISON_FINGERPRINT, upstream, 0.0)
     assert ledger.is_stopped(POISON_FINGERPRINT, later_s) is stopped
 
 
-def test_popular_request_survives_a_dying_rack():
-    """Two upstreams die at once with the same popular request in progress.
+def test_popular_request_is_stopped_only_briefly_by_a_rack_failure():
+    """Two upstreams fail at once with the same popular request in progress.
 
-    Stopping it for ten minutes would refuse half of all callers a request
-    that had nothing to do with it.
+    If it were stopped for ten minutes, half of all callers would be refused
+    a request that did not cause the crashes.
     """
     ledger = PoisonLedger()
     ledger.note_success(POISON_FINGERPRINT, 0.0)
@@ -86,11 +88,11 @@
     assert not ledger.is_stopped(POISON_FINGERPRINT, 40.0)
 
 
-def test_suspect_runs_alone():
+def test_suspect_request_runs_one_copy_at_a_time():
     """Three copies of a crashing request arrive together.
 
-    Sent to three upstreams before the first crash is known, they would
-    take all three.
+    Sent to three upstreams before the first crash is known, they would crash
+    all three.
     """
     arbiter = make_arbiter(upstreams=4, slots=1)
     first = ask(arbiter, "r1", fingerprint=POISON_FINGERPRINT)
@@ -108,7 +110,7 @@
     assert (again.code, again.run) == (Code.POISON_REQUEST, RUN_UNKNOWN)
 
 
-def test_word_from_another_vm_stops_what_waits():
+def test_crash_reported_by_another_vm_stops_a_waiting_copy():
     """Another entry VM reports the second crash while a copy waits here."""
     arbiter = make_arbiter(upstreams=1, slots=1)
     held = ask(arbiter, "r1")
@@ -119,30 +121,31 @@
 
 
 @pytest.mark.parametrize(
-    ("heard", "later_s", "usable"),
+    ("reports", "later_s", "usable"),
     [
         ([], 0, True),
         ([("list", True)], 0, False),
-        ([("word", DRAINING)], 0, False),
+        ([("signal", DRAINING)], 0, False),
         ([("probe", DRAINING)], 0, False),
         ([("list", True), ("probe", READY)], 0, False),
-        ([("word", DRAINING), ("probe", READY)], 5, False),
-        ([("word", DRAINING), ("probe", READY)], 11, True),
+        ([("signal", DRAINING), ("probe", READY)], 5, False),
+        ([("signal", DRAINING), ("probe", READY)], 11, True),
         ([("probe", DRAINING), ("probe", READY)], 0, True),
         ([("probe", FAILED)], 0, True),
         ([("probe", FAILED), ("probe", FAILED)], 0, False),
         ([("probe", FAILED), ("success", None), ("probe", FAILED)], 0, True),
     ],
 )
-def test_first_word_of_leaving_wins(heard, later_s, usable):
-    """The sources that tell of a leaving upstream lag by different times.
+def test_any_source_can_report_an_upstream_as_leaving(reports, later_s, usable):
+    """The sources that report a leaving upstream lag by different times.
 
-    Work sent to one that has said so anywhere is refused or cut off.
+    A request sent to an upstream that any source reports as leaving is
+    refused or cut off.
     """
     health = UpstreamHealth(["s1", "s2", "s3"])
-    for source, said in heard:
+    for source, state in reports:
         note = getattr(health, f"note_{source}")
-        note("s1", 0.0) if said is None else note("s1", said, 0.0)
+        note("s1", 0.0) if state is None else note("s1", state, 0.0)
     if later_s:
         health.note_probe("s1", READY, later_s)
     assert health.get_verdicts(later_s)["s1"].usable is usable
@@ -150,9 +153,10 @@
 
 @pytest.mark.parametrize(("failing", "usable"), [(1, 3), (2, 2), (3, 4), (4, 4)])
 def test_failing_probes_cannot_empty_a_zone(failing, usable):
-    """The probes fail though the upstreams work, as when a rule cuts them.
+    """Probes fail though the upstreams work, for example due to a firewall.
 
-    Believed, they would take every upstream out and refuse all callers.
+    If they were trusted, every upstream would be taken out and all callers
+    would be refused.
     """
     health = UpstreamHealth([f"s{n}" for n in range(4)])
     for index in range(failing):
@@ -163,8 +167,8 @@
 
 
 @pytest.mark.parametrize(("upstreams", "ejected"), [(1, 0), (2, 1), (3, 1), (4, 2)])
-def test_ejection_leaves_half_of_the_zone(upstreams, ejected):
-    """Upstreams crash one after the other, or the measuring is at fault."""
+def test_at_most_half_of_a_zone_is_ejected(upstreams, ejected):
+    """Upstreams crash one after the other, or measurements are wrong."""
     detector = OutlierDetector()
     names = [f"s{n}" for n in range(upstreams)]
     for name in names:
@@ -175,10 +179,10 @@
 
 
 @pytest.mark.parametrize(("others", "ejected"), [(OUTCOME_OK, 1), (OUTCOME_FAILED, 0)])
-def test_what_fails_everywhere_ejects_nobody(others, ejected):
+def test_failures_shared_by_all_upstreams_eject_none(others, ejected):
     """A dependency is down and all upstreams fail alike, or one alone fails.
 
-    A failing one answers fastest and would draw most of the requests.
+    A failing one answers fastest and would get most of the requests.
     """
     detector = OutlierDetector()
     for name in ("s1", "s2", "s3"):
@@ -191,10 +195,10 @@
 
 
 @pytest.mark.parametrize("outcome", [OUTCOME_SHED, OUTCOME_LEAVING])
-def test_refusing_upstream_is_not_offered_the_queue(outcome):
-    """An upstream refuses work at once and so is always free.
+def test_refusing_upstream_gets_no_waiting_requests(outcome):
+    """An upstream refuses requests at once and so always has free slots.
 
-    It would be offered one waiting request after the other and refuse each.
+    It would get one waiting request after the other and refuse each.
     """
     arbiter = make_arbiter(upstreams=2, slots=1)
     first = ask(arbiter, "r1")
@@ -203,7 +207,7 @@
     assert arbiter.release(first.permit_id, outcome, 0.001, 0.1) == []
 
 
-def test_ejected_upstreams_serve_when_nothing_else_is_left():
+def test_ejected_upstream_serves_if_no_other_is_left():
     """One of two is ejected when the other begins to drain."""
     arbiter = make_arbiter(upstreams=2, slots=1)
     first = ask(arbiter, "r1")
@@ -213,10 +217,11 @@
     assert ask(arbiter, "r2", 0.2).upstream == first.upstream
 
 
-def test_cold_upstream_that_leaves_stays_out():
-    """An upstream that drains is restarted, and its probe says cold.
+def test_leaving_upstream_stays_unusable_when_cold():
+    """An upstream that drains is restarted, and its probe reports it as cold.
 
-    Taken for ready it would be sent work and cut it off when it stops.
+    If it counted as ready it would get requests and cut them off when it
+    stops.
     """
     arbiter = make_arbiter(upstreams=1)
     arbiter.set_usable("s1", False, 0.0)
@@ -224,8 +229,8 @@
     assert ask(arbiter, "r1", 0.1).code is Code.NO_UPSTREAM
 
 
-def test_drained_zone_refuses_at_once():
-    """Every upstream leaves; waiting for one would waste the caller's time."""
+def test_drained_zone_refuses_immediately():
+    """Every upstream is leaving, so waiting for a slot is pointless."""
     arbiter = make_arbiter(upstreams=1)
     arbiter.set_usable("s1", False, 0.0)
     refusal = ask(arbiter, "r1", may_pass_on=False)
@@ -234,10 +239,11 @@
 
 
 @pytest.mark.parametrize("lasts_s", [2.0, 4.0])
-def test_request_waits_for_an_arbiter_that_takes_over(lasts_s):
+def test_request_waits_for_the_loans_of_a_new_arbiter(lasts_s):
     """The arbiter was replaced and the new one has no loans yet.
 
-    Refused in that second, callers would see an outage at each replacement.
+    If requests were refused in that second, callers would see an outage at
+    each replacement.
     """
     arbiter = Arbiter("status")
     assert ask(arbiter, "r1", lasts_s=lasts_s) is None
@@ -246,11 +252,11 @@
     assert isinstance(decision.outcome, Grant)
 
 
-def test_spill_stays_inside_its_allowance():
-    """A full zone's surplus goes to one neighbour.
+def test_spill_stays_within_its_allowance():
+    """A full zone spills its surplus to one neighbour.
 
-    Sent without bound, the surplus of several zones overloads a region
-    that had headroom for some of it.
+    Without a limit, the surplus of several zones overloads a region that had
+    headroom for some of it.
     """
     arbiter = make_arbiter(upstreams=1, slots=1, work_s=1.0)
     arbiter.set_allowances({"maz-b": 2}, 0.0)
@@ -264,7 +270,7 @@
 @pytest.mark.parametrize(
     ("requests_per_s", "bytes_per_s", "sent"), [(5, 0, 15), (0, 0, 0), (100, 50, 2)]
 )
-def test_link_meter_holds_its_limits(requests_per_s, bytes_per_s, sent):
+def test_link_limiter_enforces_its_limits(requests_per_s, bytes_per_s, sent):
     """Many requests at once for a link, 100 bytes each, over two seconds."""
     limiter = LinkLimiter(requests_per_s, bytes_per_s)
     passed = 0
@@ -276,25 +282,25 @@
 @pytest.mark.parametrize(
     ("after_s", "slots"), [(0, 1), (4.9, 1), (5.1, 2), (9.9, 2), (10.1, 3)]
 )
-def test_cold_upstream_gets_its_slots_by_and_by(after_s, slots):
+def test_cold_upstream_gets_its_slots_gradually(after_s, slots):
     warmup = Warmup(10.0)
     warmup.note_cold("s1", 0.0)
     assert warmup.get_slots("s1", 3, after_s) == slots
 
 
-@pytest.mark.parametrize(("times_usual", "slots"), [(1.0, 3), (4.0, 1)])
-def test_warm_up_ends_when_work_is_quick(times_usual, slots):
+@pytest.mark.parametrize(("relative_time", "slots"), [(1.0, 3), (4.0, 1)])
+def test_warm_up_ends_when_requests_are_fast(relative_time, slots):
     warmup = Warmup(10.0)
     warmup.note_cold("s1", 0.0)
     for _ in range(10):
-        warmup.note_work("s1", times_usual)
+        warmup.note_work("s1", relative_time)
     assert warmup.get_slots("s1", 3, 1.0) == slots
 
 
-def test_refused_callers_are_told_different_times():
-    """A crowd is refused in the same moment, each with a second's work.
+def test_refused_callers_get_different_retry_times():
+    """Many requests of a second's work each are refused at the same moment.
 
-    Told the same time it would come back as the same crowd.
+    With the same Retry-After time all of them would return together.
     """
     arbiter = make_arbiter(upstreams=1, slots=1, work_s=1.0)
     ask(arbiter, "r0")
@@ -304,7 +310,7 @@
     assert min(gaps) >= 1.0
 
 
-def test_timers_keep_only_the_last_time_of_a_key():
+def test_timers_keep_only_the_latest_time_of_a_key():
     timers = Timers()
     for time in range(500):
         timers.set("a", float(time))
--- a/godwitlanding/tests/decisions/test_retrybudget.py
+++ b/godwitlanding/tests/decisions/test_retrybudget.py
@@ -1,4 +1,4 @@
-"""Repeats of all VMs together stay within their bound."""
+"""Tests that the retries of all VMs together stay within their bound."""
 
 import pytest
 
@@ -9,10 +9,10 @@
 
 @pytest.mark.parametrize("vms", [1, 8, 12, 60])
 @pytest.mark.parametrize("requests", [0, 100, 1000])
-def test_repeats_of_all_vms_stay_within_the_bound(vms, requests):
-    # Every upstream sheds, so that each VM repeats as often as it may. If
-    # the VMs' shares added up to more than the bound, repeats would make
-    # the overload worse that caused them.
+def test_retries_of_all_vms_stay_within_the_bound(vms, requests):
+    # Every upstream sheds, so each VM retries as often as it may. If the VMs'
+    # shares added up to more than the bound, retries would worsen the overload
+    # that caused them.
     total = 0
     for _ in range(vms):
         budget = RetryBudget(RATIO, WINDOW_S, SLACK)
@@ -23,9 +23,9 @@
     assert total <= RATIO * requests * vms + SLACK
 
 
-def test_killed_vms_do_not_repeat_twice_as_much():
-    # All VMs are killed and start again while every upstream sheds. What
-    # they repeated before stands in the same window.
+def test_restarted_vms_do_not_exceed_the_bound():
+    # All VMs are killed and restart while every upstream sheds. Their earlier
+    # retries are in the same window.
     total = 0
     requests = 0
     for _ in range(12):
@@ -40,7 +40,7 @@
     assert total <= RATIO * requests + SLACK
 
 
-def test_window_slides():
+def test_budget_is_free_again_after_the_window():
     budget = RetryBudget(RATIO, WINDOW_S, SLACK)
     while budget.take("s", 12, 0.0):
         pass
--- a/godwitlanding/tests/decisions/test_worktime.py
+++ b/godwitlanding/tests/decisions/test_worktime.py
@@ -1,4 +1,4 @@
-"""Slow and failing upstreams are known after a few answers."""
+"""Tests that slow and failing upstreams are detected after a few answers."""
 
 import pytest
 
@@ -15,9 +15,9 @@
 
 
 @pytest.mark.parametrize(("times", "answers"), [(4, 4), (12, 2)])
-def test_slow_upstream_is_known(times, answers):
-    # One upstream takes several times as long, and its health endpoint says
-    # that all is well. Its callers would wait as if it were the only one.
+def test_slow_upstream_is_detected(times, answers):
+    # One upstream takes several times as long, and its health endpoint reports
+    # that it is healthy. Its callers would wait though others are faster.
     worktimes = make_worktimes()
     for _ in range(answers):
         worktimes.note_answer("s", "a", 0.1 * times, Warmth.WARM, False)
@@ -26,23 +26,23 @@
     assert worktimes.get_warm_s("s") < 0.2
 
 
-def test_first_visits_make_no_upstream_slow():
+def test_unsure_requests_do_not_mark_an_upstream_slow():
     worktimes = make_worktimes()
     for _ in range(10):
         worktimes.note_answer("s", "a", 0.36, Warmth.UNSURE, False)
     assert worktimes.get_factor("a") == pytest.approx(1.0, abs=0.1)
 
 
-def test_waiting_makes_no_upstream_slow():
+def test_queueing_does_not_mark_an_upstream_slow():
     worktimes = make_worktimes()
     for _ in range(10):
         worktimes.note_answer("s", "a", 0.5, Warmth.WARM, True)
     assert worktimes.get_factor("a") == pytest.approx(1.0, abs=0.1)
 
 
-def test_failures_are_known_and_forgiven():
-    # An upstream fails half of its requests at once. It is always the least
-    # busy one, and would draw most of the requests.
+def test_failure_share_rises_and_decays():
+    # An upstream fails half of its requests immediately. It is always the
+    # least busy one, and would get most of the requests.
     worktimes = make_worktimes()
     for _ in range(5):
         worktimes.note_failure("s", "a")
@@ -52,7 +52,7 @@
     assert worktimes.get_failure_share("a") < 0.05
 
 
-def test_one_failing_upstream_is_passed_over():
+def test_single_failing_upstream_is_detected():
     worktimes = make_worktimes()
     for _ in range(6):
         worktimes.note_failure("s", "a")
@@ -60,9 +60,9 @@
     assert not worktimes.is_failing("s", "b")
 
 
-def test_where_all_fail_alike_none_is_passed_over():
-    # Every upstream of a service sheds half of its requests. Passing over
-    # each that just did sends objects to upstreams that do not know them,
+def test_none_counts_as_failing_if_all_fail_alike():
+    # Every upstream of a service sheds half of its requests. Skipping each
+    # that just did so sends objects to upstreams that have not cached them,
     # and work that takes four times as long fills the slots.
     worktimes = make_worktimes()
     for _ in range(60):
@@ -75,9 +75,9 @@
         assert not worktimes.is_failing("s", upstream)
 
 
-def test_first_runs_take_their_part_of_the_slots():
-    # Upstreams learn objects while a wave rises. A plan that counts on warm
-    # work alone keeps more callers in a small region than it can serve.
+def test_mean_work_time_includes_cold_requests():
+    # Upstreams get cold requests while load rises. A plan based on warm work
+    # alone keeps more callers in a small region than it can serve.
     worktimes = make_worktimes()
     before_s = worktimes.get_mean_s("s")
     for number in range(100):
@@ -87,8 +87,9 @@
     assert worktimes.get_mean_s("s") == pytest.approx(0.175, abs=0.03)
 
 
-def test_light_requests_do_not_hide_how_long_first_runs_take():
-    # Guards against first runs that are taken for as short as strays.
+def test_objectless_requests_do_not_change_the_cold_time():
+    # Guards against cold requests being estimated as short as requests without
+    # an object.
     worktimes = make_worktimes()
     cold_s = worktimes.get_cold_s("s")
     for _ in range(50):
@@ -96,11 +97,11 @@
     assert worktimes.get_cold_s("s") == cold_s
     assert worktimes.get_factor("a") == pytest.approx(1.0, abs=0.1)
     assert worktimes.get_objectless_s("s") < 0.02
-    # They take slots, though hardly any time of theirs.
+    # They use slots, but only briefly, so the mean falls.
     assert worktimes.get_mean_s("s") < 0.1
 
 
-def test_slow_upstream_is_known_where_nothing_is_about_objects():
+def test_slow_upstream_is_detected_without_object_requests():
     worktimes = WorkTimes()
     for upstream in ("a", "b", "c"):
         for _ in range(20):
