--- a/godwitlanding/base/config.py
+++ b/godwitlanding/base/config.py
@@ -13,13 +13,13 @@
 from result import Err, Ok
 
 from godwitlanding.base.codes import Code
-from godwitlanding.base.configtable import (
+from godwitlanding.base.configschema import (
     CONFIG,
     KIND_BULK,
     KIND_LOOKUP,
     KIND_TRANSACTION,
 )
-from godwitlanding.base.fields import Checker, Field, read_text
+from godwitlanding.base.schema import Checker, Field, read_text
 
 CONFIG_KIND = "config"
 CONFIG_NAME = "main"
@@ -144,11 +144,11 @@
         ("links", [f"{link['from']} to {link['to']}" for link in value["links"]]),
         ("shifts", [f"{s['service']} {s['from']}" for s in value["shifts"]]),
     ):
-        for name in _find_doubled(names):
+        for name in _find_duplicates(names):
             checker.add(Code.CONFIG_DUPLICATE, path, repr(name), "each one once")
 
 
-def _find_doubled(names):
+def _find_duplicates(names):
     seen = set()
     return sorted({name for name in names if name in seen or seen.add(name)})
 
@@ -158,7 +158,7 @@
     services = {service["name"] for service in value["services"]}
     upstreams = {u["id"] for s in value["services"] for u in s["upstreams"]}
 
-    def expect(name, known, path, what):
+    def check_reference(name, known, path, what):
         if name not in known:
             checker.add(
                 Code.CONFIG_UNKNOWN_REFERENCE, path, repr(name), what, near=name
@@ -167,49 +167,57 @@
     for service in value["services"]:
         path = f"services.{service['name']}"
         for name in service["depends_on"]:
-            expect(name, services, f"{path}.depends_on", "a service of this text")
+            check_reference(
+                name, services, f"{path}.depends_on", "a service of this text"
+            )
         for upstream in service["upstreams"]:
             zone = upstream["availability_zone"]
-            expect(zone, zones, f"{path}.{upstream['id']}", "a zone of a region")
+            check_reference(
+                zone, zones, f"{path}.{upstream['id']}", "a zone of a region"
+            )
     for link in value["links"]:
-        expect(link["from"], zones, "links.from", "a zone of a region")
-        expect(link["to"], zones, "links.to", "a zone of a region")
+        check_reference(link["from"], zones, "links.from", "a zone of a region")
+        check_reference(link["to"], zones, "links.to", "a zone of a region")
     for shift in value["shifts"]:
         path = f"shifts.{shift['name']}"
-        expect(shift["service"], services, path, "a service of this text")
-        expect(shift["from"], zones, path, "a zone of a region")
-        expect(shift["to"], zones, path, "a zone of a region")
+        check_reference(shift["service"], services, path, "a service of this text")
+        check_reference(shift["from"], zones, path, "a zone of a region")
+        check_reference(shift["to"], zones, path, "a zone of a region")
         if shift["share"] > 0 and shift["cap_share"] == 0:
             checker.add(Code.CONFIG_OUT_OF_RANGE, path, "cap_share 0", "more than 0")
         if shift["from"] == shift["to"]:
             checker.add(Code.CONFIG_OUT_OF_RANGE, path, shift["to"], "another zone")
     for drain in value["drains"]:
         if drain["what"] == "upstream":
-            expect(drain["name"], upstreams, "drains", "an upstream of this text")
+            check_reference(
+                drain["name"], upstreams, "drains", "an upstream of this text"
+            )
         if drain["what"] == "availability_zone":
-            expect(drain["name"], zones, "drains", "a zone of a region")
+            check_reference(drain["name"], zones, "drains", "a zone of a region")
         if drain["service"]:
-            expect(drain["service"], services, "drains", "a service of this text")
+            check_reference(
+                drain["service"], services, "drains", "a service of this text"
+            )
     _check_cycles(value, checker)
 
 
 def _check_cycles(value, checker):
-    needs_by_name = {s["name"]: s["depends_on"] for s in value["services"]}
-    for name in needs_by_name:
-        if name in _reach(name, needs_by_name):
+    dependencies_by_name = {s["name"]: s["depends_on"] for s in value["services"]}
+    for name in dependencies_by_name:
+        if name in _find_transitive_dependencies(name, dependencies_by_name):
             path = f"services.{name}.depends_on"
             checker.add(Code.CONFIG_UNKNOWN_REFERENCE, path, "a cycle", "no cycle")
 
 
-def _reach(name, needs_by_name):
-    reached = set()
-    todo = list(needs_by_name[name])
-    while todo:
-        need = todo.pop()
-        if need not in reached:
-            reached.add(need)
-            todo.extend(needs_by_name.get(need, ()))
-    return reached
+def _find_transitive_dependencies(name, dependencies_by_name):
+    dependencies = set()
+    pending = list(dependencies_by_name[name])
+    while pending:
+        dependency = pending.pop()
+        if dependency not in dependencies:
+            dependencies.add(dependency)
+            pending.extend(dependencies_by_name.get(dependency, ()))
+    return dependencies
 
 
 def _build(value):
--- a/godwitlanding/base/configtable.py
+++ b/godwitlanding/base/configschema.py
@@ -4,7 +4,7 @@
 together.
 """
 
-from godwitlanding.base.fields import Field
+from godwitlanding.base.schema import Field
 
 KIND_TRANSACTION = "transaction"
 KIND_LOOKUP = "lookup"
--- a/godwitlanding/base/headers.py
+++ b/godwitlanding/base/headers.py
@@ -14,7 +14,7 @@
         "expect",
     )
 )
-OWN_PREFIX = "godwit-"
+INTERNAL_PREFIX = "godwit-"
 
 REQUEST_ID = "Godwit-Request-Id"
 DEADLINE = "Godwit-Deadline"
@@ -32,12 +32,12 @@
 UPSTREAM_REQUEST_ID = "Request-Id"
 UPSTREAM_REFUSED = "Upstream-Refused"
 
-_SET_BY_US = frozenset(
+_SET_BY_PROXY = frozenset(
     ("host", "content-length", "x-caller", "request-deadline", "request-id")
 )
 
 
-def _get_named(headers):
+def _get_connection_tokens(headers):
     """Return the names that a ``Connection`` header makes hop-by-hop."""
     for name, value in headers:
         if name == "connection":
@@ -50,29 +50,29 @@
 
     Names are lower case, as ASGI gives them.
     """
-    named = _get_named(headers)
+    connection_tokens = _get_connection_tokens(headers)
     return [
         (name, value)
         for name, value in headers
         if name not in HOP_BY_HOP
-        and name not in _SET_BY_US
-        and name not in named
-        and not name.startswith(OWN_PREFIX)
+        and name not in _SET_BY_PROXY
+        and name not in connection_tokens
+        and not name.startswith(INTERNAL_PREFIX)
     ]
 
 
-def select_answer_headers(headers):
+def select_response_headers(headers):
     """Return the pairs of an upstream's answer that go to the caller.
 
     Our own headers are dropped, so that no upstream can pose as one of
     our processes.
     """
     pairs = [(name.lower(), value) for name, value in headers]
-    named = _get_named(pairs)
+    connection_tokens = _get_connection_tokens(pairs)
     return [
         (name, value)
         for name, value in pairs
         if name not in HOP_BY_HOP
-        and name not in named
-        and not name.startswith(OWN_PREFIX)
+        and name not in connection_tokens
+        and not name.startswith(INTERNAL_PREFIX)
     ]
--- a/godwitlanding/base/logstream.py
+++ b/godwitlanding/base/logstream.py
@@ -17,7 +17,7 @@
 
 # A busy VM writes half of this.
 MAX_LINES_PER_S = 500
-KEPT_FOR_WARNINGS = 100
+RESERVED_FOR_WARNINGS = 100
 MAX_PENDING_BYTES = 256 * 1024
 # A message longer than this is cut by the reader anyway.
 MAX_LINE_BYTES = 4096
@@ -33,12 +33,12 @@
         self._descriptor = sys.stdout.fileno() if descriptor is None else descriptor
         self._counters = counters
         self._pending = bytearray()
-        self._second = 0
-        self._lines = 0
+        self._current_second = 0
+        self._lines_this_second = 0
         self._dropped = 0
         os.set_blocking(self._descriptor, False)
 
-    def take(self, message):
+    def write_message(self, message):
         """Write a message, or keep it until the reader takes more."""
         level = message.get("level", "info")
         if not self._has_room(level):
@@ -68,15 +68,15 @@
 
     def _has_room(self, level):
         second = int(self._now())
-        if second != self._second:
-            self._second = second
-            self._lines = 0
+        if second != self._current_second:
+            self._current_second = second
+            self._lines_this_second = 0
         limit = MAX_LINES_PER_S
         if level in ("info", "debug"):
-            limit -= KEPT_FOR_WARNINGS
-        if self._lines >= limit or len(self._pending) > MAX_PENDING_BYTES:
+            limit -= RESERVED_FOR_WARNINGS
+        if self._lines_this_second >= limit or len(self._pending) > MAX_PENDING_BYTES:
             return False
-        self._lines += 1
+        self._lines_this_second += 1
         return True
 
     def _add(self, message):
@@ -90,5 +90,5 @@
 def set_up_log_stream(vm, role, now, counters=None):
     """Send every log message to standard output; return the stream."""
     stream = LogStream(vm, role, now, counters=counters)
-    add_destinations(stream.take)
+    add_destinations(stream.write_message)
     return stream
--- a/godwitlanding/base/messages.py
+++ b/godwitlanding/base/messages.py
@@ -327,17 +327,17 @@
     message: tuple
 
 
-def _camel(name):
+def _to_camel_case(name):
     head, *rest = name.split("_")
     return head + "".join(part.title() for part in rest)
 
 
-def _field_rows(cls):
+def _describe_fields(cls):
     rows = []
     for name, hint in get_type_hints(cls).items():
         item = get_args(hint)[0] if get_origin(hint) is tuple else None
         nested = item if hasattr(item, "_fields") else None
-        rows.append((name, _camel(name), item is not None, nested))
+        rows.append((name, _to_camel_case(name), item is not None, nested))
     return rows
 
 
@@ -347,8 +347,8 @@
 
 _CLASS_BY_UNION_NAME = {_union_name(cls): cls for cls in _CLASSES}
 _UNION_NAME_BY_CLASS = {cls: name for name, cls in _CLASS_BY_UNION_NAME.items()}
-_ROWS_BY_CLASS = {
-    cls: _field_rows(cls)
+_FIELDS_BY_CLASS = {
+    cls: _describe_fields(cls)
     for cls in (*_CLASSES, VersionOf, HeldPermit, Holder, Position, HeldObject)
 }
 
@@ -359,21 +359,21 @@
     A field of value zero is left out: that is what the schema's default
     reads as.
     """
-    for name, camel, is_list, nested in _ROWS_BY_CLASS[type(message)]:
+    for name, schema_name, is_list, nested in _FIELDS_BY_CLASS[type(message)]:
         value = getattr(message, name)
         if not value:
             continue
         if nested:
-            for row, item in zip(builder.init(camel, len(value)), value):
+            for row, item in zip(builder.init(schema_name, len(value)), value):
                 _fill(row, item)
         else:
-            setattr(builder, camel, list(value) if is_list else value)
+            setattr(builder, schema_name, list(value) if is_list else value)
 
 
 def _from_reader(cls, reader):
     values = []
-    for _, camel, is_list, nested in _ROWS_BY_CLASS[cls]:
-        value = getattr(reader, camel)
+    for _, schema_name, is_list, nested in _FIELDS_BY_CLASS[cls]:
+        value = getattr(reader, schema_name)
         if nested:
             value = tuple(_from_reader(nested, item) for item in value)
         elif is_list:
--- a/godwitlanding/base/settings.py
+++ b/godwitlanding/base/settings.py
@@ -10,7 +10,7 @@
 from result import Err
 
 from godwitlanding.base.codes import Code
-from godwitlanding.base.fields import Field, Problem, check_text
+from godwitlanding.base.schema import Field, Problem, check_text
 
 _PORT = {"minimum": 1, "maximum": 65535}
 
--- a/godwitlanding/base/store.py
+++ b/godwitlanding/base/store.py
@@ -14,9 +14,9 @@
 from result import Err, Ok
 from yarl import URL
 
-from godwitlanding.base.client import make_session
 from godwitlanding.base.codes import Code, make_refusal
-from godwitlanding.base.stored import (
+from godwitlanding.base.httpclient import make_session
+from godwitlanding.base.storetypes import (
     MAX_VALUE_BYTES,
     StoredObject,
     VmEntry,
@@ -35,7 +35,7 @@
     429: Code.RATE_LIMITED,
 }
 # Revisions of the copies from which the platform has come back.
-_COPIES = "Platform-Copies"
+_COPIES_HEADER = "Platform-Copies"
 # Rate limits are counted by the second, so a second later is another count.
 _RATE_LIMIT_RETRY_S = 1.0
 # One slow call must not hold up the others behind a full connection pool.
@@ -84,7 +84,7 @@
             headers=_make_condition(expected_version),
             data=value,
         )
-        return answer.and_then(self._read_written)
+        return answer.and_then(self._read_written_version)
 
     async def delete(self, kind, name, expected_version):
         """Delete if the version is as expected; ``Ok(version)``."""
@@ -96,7 +96,7 @@
             _object_path(kind, name),
             headers=_make_condition(expected_version),
         )
-        return answer.and_then(self._read_written)
+        return answer.and_then(self._read_written_version)
 
     async def watch(self, kind, after, timeout_s):
         """Wait for changes of a kind; ``Ok(WatchBatch)``, maybe empty."""
@@ -137,19 +137,19 @@
                 body = await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return _make_unavailable(repr(error))
-        copies = _read_copies(response.headers.get(_COPIES, ""))
+        copies = _read_copies(response.headers.get(_COPIES_HEADER, ""))
         if len(copies) > len(self._copies):
             log_message("store:restored", copies=copies)
             self._copies = copies
         if response.status in (200, 201):
-            return Ok(_Answer(response.headers.get("ETag", ""), body, copies))
+            return Ok(_Reply(response.headers.get("ETag", ""), body, copies))
         if response.status not in _CODE_BY_STATUS:
             return _make_unavailable(f"answered {response.status}")
         code = _CODE_BY_STATUS[response.status]
         retry_after_s = _RATE_LIMIT_RETRY_S if code is Code.RATE_LIMITED else 0.0
         return Err(make_refusal(code, retry_after_s))
 
-    def _read_written(self, answer):
+    def _read_written_version(self, answer):
         if len(answer.copies) < len(self._copies):
             return _make_unavailable("written before the platform was restored")
         return _read_json(answer, _read_version)
@@ -164,7 +164,7 @@
         return self._session
 
 
-class _Answer(NamedTuple):
+class _Reply(NamedTuple):
     etag: str
     body: bytes
     copies: tuple[int, ...]
--- a/godwitlanding/base/tasks.py
+++ b/godwitlanding/base/tasks.py
@@ -6,7 +6,7 @@
 from godwitlanding.base.log import log_error
 
 # Between two cancellations a task may tidy up.
-_CANCEL_AGAIN_S = 0.2
+_CANCEL_RETRY_S = 0.2
 
 
 async def end_tasks(tasks):
@@ -21,7 +21,7 @@
     while pending:
         for task in pending:
             task.cancel()
-        _, pending = await asyncio.wait(pending, timeout=_CANCEL_AGAIN_S)
+        _, pending = await asyncio.wait(pending, timeout=_CANCEL_RETRY_S)
 
 
 def start_task(coroutine):
--- a/godwitlanding/base/web.py
+++ b/godwitlanding/base/web.py
@@ -44,10 +44,10 @@
         port,
         needs=(),
         max_connections=2000,
-        ends_at_once=False,
+        cancel_on_stop=False,
     ):
         self.name = name
-        self._ends_at_once = ends_at_once
+        self._cancel_on_stop = cancel_on_stop
         self.needs = needs
         config = uvicorn.Config(
             app,
@@ -84,7 +84,7 @@
     async def stop(self):
         """Take no new connection and wait for the requests in progress."""
         self._server.should_exit = True
-        if self._ends_at_once:
+        if self._cancel_on_stop:
             self._task.cancel()
         elif self._task:
             await self._task
@@ -125,7 +125,7 @@
     )
 
 
-def make_status_routes(kernel_of, counters, is_ready, replica=None):
+def make_status_routes(get_kernel, counters, is_ready, replica=None):
     """Return the routes under ``/-/`` that operators read on every daemon.
 
     ``kernel_of`` and ``is_ready`` are functions, since routes are made
@@ -138,7 +138,7 @@
     async def get_status(request):
         return JSONResponse(
             {
-                "services": kernel_of().get_status(),
+                "services": get_kernel().get_status(),
                 "counters": counters.get_all(),
                 "versions": replica.get_versions() if replica else {},
             }
--- a/godwitlanding/base/wire.py
+++ b/godwitlanding/base/wire.py
@@ -57,7 +57,7 @@
         sock = writer.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
-    async def greet(self):
+    async def handshake(self):
         """Exchange hellos; return an ``Ok`` or the ``Err`` that ends it."""
         self._write(Envelope(0, False, self._hello))
         try:
@@ -83,7 +83,7 @@
         """Read frames until the connection ends, then fail open calls."""
         try:
             while True:
-                self._take(await self._read())
+                self._dispatch(await self._read())
         except (ConnectionError, asyncio.IncompleteReadError, OSError):
             pass
         except ValueError as error:
@@ -112,7 +112,7 @@
             return future
         self._next_id += 1
         call_id = self._next_id
-        timer = loop.call_later(timeout_s, self._expire, call_id)
+        timer = loop.call_later(timeout_s, self._time_out_call, call_id)
         self._call_by_id[call_id] = (future, timer)
         self._write(Envelope(call_id, False, message))
         return future
@@ -124,13 +124,13 @@
         self.closed.set()
         self._writer.close()
         for call_id in list(self._call_by_id):
-            self._end_call(call_id, Err(make_refusal(Code.PEER_UNREACHABLE)))
+            self._complete_call(call_id, Err(make_refusal(Code.PEER_UNREACHABLE)))
         for task in self._tasks:
             task.cancel()
 
     async def _read(self):
-        head = await self._reader.readexactly(_LENGTH.size)
-        (length,) = _LENGTH.unpack(head)
+        header = await self._reader.readexactly(_LENGTH.size)
+        (length,) = _LENGTH.unpack(header)
         if length > MAX_FRAME_BYTES:
             self._counters.add("wire_refused", code=Code.FRAME_TOO_LARGE.name)
             raise ValueError(f"frame of {length} bytes is over {MAX_FRAME_BYTES}")
@@ -146,20 +146,20 @@
             self._writer.transport.abort()
             self.close()
 
-    def _take(self, envelope):
+    def _dispatch(self, envelope):
         if envelope.answer:
             # An answer after its timeout has no call any more: drop it.
-            if not self._end_call(envelope.id, _make_result(envelope.message)):
+            if not self._complete_call(envelope.id, _make_result(envelope.message)):
                 self._counters.add("wire_dropped", reason="late_answer")
             return
-        task = asyncio.ensure_future(self._answer(envelope))
+        task = asyncio.ensure_future(self._handle(envelope))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _expire(self, call_id):
-        self._end_call(call_id, Err(make_refusal(Code.CALL_TIMEOUT)))
+    def _time_out_call(self, call_id):
+        self._complete_call(call_id, Err(make_refusal(Code.CALL_TIMEOUT)))
 
-    def _end_call(self, call_id, result):
+    def _complete_call(self, call_id, result):
         """Give a call its result; tell whether anybody still waits."""
         future, timer = self._call_by_id.pop(call_id, (None, None))
         if future is None:
@@ -170,7 +170,7 @@
         future.set_result(result)
         return True
 
-    async def _answer(self, envelope):
+    async def _handle(self, envelope):
         handler = self._handler_by_type.get(type(envelope.message))
         if handler is None:
             self._counters.add("wire_refused", code=Code.UNEXPECTED_MESSAGE.name)
@@ -197,11 +197,11 @@
 
 def _make_result(answer):
     if isinstance(answer, Failure):
-        return Err(make_refusal(_known_code(answer.code), detail=answer.detail))
+        return Err(make_refusal(_to_code(answer.code), detail=answer.detail))
     return Ok(answer)
 
 
-def _known_code(number):
+def _to_code(number):
     try:
         return Code(number)
     except ValueError:
@@ -255,8 +255,8 @@
             del self._channel_by_task[task]
 
     async def _serve(self, channel):
-        greeting = await channel.greet()
-        if greeting.is_err():
+        handshake_result = await channel.handshake()
+        if handshake_result.is_err():
             channel.close()
             return
         self.channels.add(channel)
@@ -279,14 +279,14 @@
         self._dial_by_address = {}
         self._tasks = set()
 
-    def find_open(self, address):
+    def find_open_channel(self, address):
         """Return the open channel to ``address``, or ``None``."""
         channel = self._channel_by_address.get(address)
         return channel if channel and not channel.closed.is_set() else None
 
     async def get_channel(self, address):
         """Return ``Ok(channel)`` to ``address``, dialling where needed."""
-        channel = self.find_open(address)
+        channel = self.find_open_channel(address)
         if channel:
             return Ok(channel)
         dial = self._dial_by_address.get(address)
@@ -299,25 +299,25 @@
 
     async def call(self, address, message, timeout_s):
         """Call the peer at ``address``; ``Ok(answer)`` or ``Err(refusal)``."""
-        channel = self.find_open(address)
+        channel = self.find_open_channel(address)
         if channel:
             return await channel.call(message, timeout_s)
         loop = asyncio.get_running_loop()
         end = loop.time() + timeout_s
         try:
-            dialled = await asyncio.wait_for(self.get_channel(address), timeout_s)
+            connected = await asyncio.wait_for(self.get_channel(address), timeout_s)
         except TimeoutError:
             return Err(make_refusal(Code.PEER_UNREACHABLE))
-        if dialled.is_err():
-            return dialled
-        return await dialled.unwrap().call(message, max(0.0, end - loop.time()))
+        if connected.is_err():
+            return connected
+        return await connected.unwrap().call(message, max(0.0, end - loop.time()))
 
     async def send(self, address, message):
         """Send without an answer; ``Err`` where there is no connection."""
-        dialled = await self.get_channel(address)
-        if dialled.is_ok():
-            dialled.unwrap().send(message)
-        return dialled
+        connected = await self.get_channel(address)
+        if connected.is_ok():
+            connected.unwrap().send(message)
+        return connected
 
     def drop(self, address):
         """Close the connection to ``address``, if any."""
@@ -345,10 +345,10 @@
         channel = Channel(
             reader, writer, self._hello, self._handler_by_type, self._counters
         )
-        greeting = await channel.greet()
-        if greeting.is_err():
+        handshake_result = await channel.handshake()
+        if handshake_result.is_err():
             channel.close()
-            return greeting
+            return handshake_result
         self._channel_by_address[address] = channel
         task = asyncio.ensure_future(channel.run())
         self._tasks.add(task)
--- a/godwitlanding/daemons/membership.py
+++ b/godwitlanding/daemons/membership.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from godwitlanding.base.rendezvous import rank
-from godwitlanding.base.stored import VmList
+from godwitlanding.base.storetypes import VmList
 
 STATE_LEAVING = "leaving"
 # The arbiter and two that are tried after it; more only cost bytes.
--- a/godwitlanding/daemons/services/members.py
+++ b/godwitlanding/daemons/services/members.py
@@ -6,7 +6,7 @@
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.log import log_warning
 from godwitlanding.base.messages import Fetch, Heartbeat, State
-from godwitlanding.base.stored import VmEntry, VmList
+from godwitlanding.base.storetypes import VmEntry, VmList
 from godwitlanding.base.tasks import Tasks
 from godwitlanding.daemons.membership import Membership, choose_arbiters, get_active
 from godwitlanding.daemons.versions import choose_versions
--- a/godwitlanding/daemons/services/permits.py
+++ b/godwitlanding/daemons/services/permits.py
@@ -215,7 +215,7 @@
         # to send its release; the arbiter frees the slot at its deadline.
         if self._is_stopped:
             return
-        channel = self._feed.pool.find_open(address)
+        channel = self._feed.pool.find_open_channel(address)
         if channel:
             channel.send(message)
         else:
--- a/godwitlanding/daemons/services/replication.py
+++ b/godwitlanding/daemons/services/replication.py
@@ -13,7 +13,7 @@
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.log import log_warning
 from godwitlanding.base.messages import Failure, Fetch, State, Subscribe
-from godwitlanding.base.stored import get_era
+from godwitlanding.base.storetypes import get_era
 from godwitlanding.base.tasks import Tasks, end_tasks
 from godwitlanding.daemons.membership import choose_reachable
 from godwitlanding.daemons.services.members import ENTRY_ROLE, VMS_KIND, format_vm_list
--- a/godwitlanding/daemons/services/upstreams.py
+++ b/godwitlanding/daemons/services/upstreams.py
@@ -5,14 +5,14 @@
 import aiohttp
 from yarl import URL
 
-from godwitlanding.base.client import make_session
 from godwitlanding.base.codes import RUN_NO, RUN_UNKNOWN, RUN_YES, Code
 from godwitlanding.base.headers import (
     UPSTREAM_DEADLINE,
     UPSTREAM_REQUEST_ID,
-    select_answer_headers,
     select_request_headers,
+    select_response_headers,
 )
+from godwitlanding.base.httpclient import make_session
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.messages import (
     OUTCOME_CRASHED,
@@ -198,7 +198,7 @@
 
 
 async def _copy_answer(request, response, sink):
-    headers = select_answer_headers(response.headers.items())
+    headers = select_response_headers(response.headers.items())
     length = read_length(response.headers)
     # A short answer is read whole first: the slot is free without waiting
     # for the caller to read, and one that breaks off has not been begun.
--- a/godwitlanding/gateway/change.py
+++ b/godwitlanding/gateway/change.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from godwitlanding.base.stored import StoredObject
+from godwitlanding.base.storetypes import StoredObject
 
 
 class Change(NamedTuple):
--- a/godwitlanding/gateway/feed.py
+++ b/godwitlanding/gateway/feed.py
@@ -25,7 +25,7 @@
     Sign,
     Update,
 )
-from godwitlanding.base.stored import StoredObject
+from godwitlanding.base.storetypes import StoredObject
 from godwitlanding.base.tasks import start_task
 from godwitlanding.base.wire import Pool, Server
 from godwitlanding.decisions.reading import SIGN_PAUSE_S, SIGN_SILENT_S
--- a/godwitlanding/gateway/mirror.py
+++ b/godwitlanding/gateway/mirror.py
@@ -23,7 +23,7 @@
 
 from godwitlanding.base.codes import Code
 from godwitlanding.base.kernel import Service
-from godwitlanding.base.stored import get_era, make_version
+from godwitlanding.base.storetypes import get_era, make_version
 from godwitlanding.base.tasks import start_task
 from godwitlanding.decisions.lapse import RETURNED_S
 from godwitlanding.gateway.change import Change, make_change
@@ -181,8 +181,8 @@
         self.rest()
         return False
 
-    async def _list(self, may_be_old=False, reached=None):
-        answer = await self._store.snapshot(self.kind, may_be_old)
+    async def _list(self, allow_stale=False, reached=None):
+        answer = await self._store.snapshot(self.kind, allow_stale)
         if answer.is_err():
             await self._fail(answer.unwrap_err())
             return None
@@ -190,11 +190,11 @@
         snapshot = answer.unwrap()
         versions = [stored.version for stored in snapshot.objects]
         changed_at = max(versions, default=0)
-        if may_be_old and reached and changed_at > (await reached or changed_at):
+        if allow_stale and reached and changed_at > (await reached or changed_at):
             # It was made before the store came back from an older copy.
             log_message("mirror:lost_history", kind=self.kind, version=changed_at)
             return await self._list()
-        if may_be_old:
+        if allow_stale:
             # One that is empty tells the era at the least.
             known_to = max(changed_at, make_version(get_era(snapshot.version), 0))
             return self._take_old(known_to, snapshot.objects)
--- a/godwitlanding/gateway/savedmap.py
+++ b/godwitlanding/gateway/savedmap.py
@@ -94,7 +94,7 @@
                 await self._save()
 
     async def _read(self):
-        answer = await self._store.snapshot(self._kind, may_be_old=True)
+        answer = await self._store.snapshot(self._kind, allow_stale=True)
         if answer.is_err():
             # What upstreams know is learnt anew, by this VM or by its peers.
             log_message(
--- a/godwitlanding/operator/changes.py
+++ b/godwitlanding/operator/changes.py
@@ -11,7 +11,7 @@
 
 from godwitlanding.base.codes import Code
 from godwitlanding.base.config import CONFIG_KIND, parse_config
-from godwitlanding.base.fields import read_text
+from godwitlanding.base.schema import read_text
 from godwitlanding.operator.apply import apply_text, read_current, remove_old_history
 from godwitlanding.operator.edit import add_item, remove_item, replace_item
 from godwitlanding.operator.inventory import read_fleet
--- a/godwitlanding/operator/edit.py
+++ b/godwitlanding/operator/edit.py
@@ -16,7 +16,7 @@
 from result import Err, Ok
 
 from godwitlanding.base.codes import Code
-from godwitlanding.base.fields import Problem, read_text
+from godwitlanding.base.schema import Problem, read_text
 
 _INDENT = "    "
 
--- a/godwitlanding/operator/operations.py
+++ b/godwitlanding/operator/operations.py
@@ -7,7 +7,7 @@
 
 from godwitlanding.base.codes import Code, make_refusal
 from godwitlanding.base.config import CONFIG_KIND, CONFIG_NAME
-from godwitlanding.base.stored import StoredObject
+from godwitlanding.base.storetypes import StoredObject
 from godwitlanding.operator.apply import read_applied, read_current, read_history
 from godwitlanding.operator.inventory import find_request, read_fleet, read_in_force
 from godwitlanding.operator.logstory import read_story
--- a/godwitlanding/operator/workspaces.py
+++ b/godwitlanding/operator/workspaces.py
@@ -12,7 +12,7 @@
 
 import aiohttp
 
-from godwitlanding.base.client import make_session
+from godwitlanding.base.httpclient import make_session
 from godwitlanding.operator.table import format_table
 from godwitlanding.operator.terminal import EXIT_FAILED, EXIT_OK
 
--- a/godwitlanding/platform/headers.py
+++ b/godwitlanding/platform/headers.py
@@ -23,7 +23,7 @@
 _LIMIT = b"server-limit"
 _LEAVING = b"server-leaving"
 _RETRY_AFTER = b"retry-after"
-_TURNED_AWAY = 503
+_SERVICE_UNAVAILABLE = 503
 
 
 def read_self_report(status, headers):
@@ -48,7 +48,7 @@
                 name=name.decode("latin-1"),
                 value=value.decode("latin-1"),
             )
-    if status != _TURNED_AWAY:
+    if status != _SERVICE_UNAVAILABLE:
         # What an answer of the work itself says there is for the caller.
         fields.pop("pause_s", None)
     return SelfReport(**fields)
@@ -71,7 +71,7 @@
     return _read_count(value) / 1000
 
 
-def _read_amount(value):
+def _read_non_negative(value):
     amount = float(value)
     if not 0.0 <= amount < math.inf:
         raise ValueError(f"{value!r} is no amount")
@@ -87,7 +87,7 @@
 _FIELD_BY_HEADER = {
     _LOAD: ("in_progress", _read_in_progress),
     _COLD_MS: ("cold_s", _read_cold_s),
-    _LIMIT: ("limit_per_s", _read_amount),
+    _LIMIT: ("limit_per_s", _read_non_negative),
     _LEAVING: ("leaving", _read_flag),
-    _RETRY_AFTER: ("pause_s", _read_amount),
+    _RETRY_AFTER: ("pause_s", _read_non_negative),
 }
--- a/godwitlanding/platform/entries.py
+++ b/godwitlanding/platform/objects.py
@@ -38,7 +38,7 @@
         }
 
 
-def _read_parts(row):
+def _read_split(row):
     split = row.get("traffic_split")
     if split:
         return tuple(SplitPart(p["service"], float(p["weight"])) for p in split)
@@ -54,7 +54,7 @@
         timeout_s=read_seconds(row["timeout"]),
         target_latency_s=read_seconds(row["target_latency"]),
         priority=int(row.get("priority", _DEFAULT_PRIORITY)),
-        parts=_read_parts(row),
+        parts=_read_split(row),
         max_attempts=int(row.get("max_attempts", 1)),
         sticky=bool(row.get("sticky", False)),
         allowed_regions=frozenset(row.get("allowed_regions") or ()),
@@ -91,14 +91,14 @@
     priority = row.get("priority")
     return Workspace(
         name=name,
-        rate_per_s=_read_amount(name, row.get("rate_per_s", 0)),
-        burst=_read_amount(name, row.get("burst", 0)),
+        rate_per_s=_read_non_negative(name, row.get("rate_per_s", 0)),
+        burst=_read_non_negative(name, row.get("burst", 0)),
         priority=None if priority is None else int(priority),
         allowed_regions=frozenset(row.get("allowed_regions") or ()),
     )
 
 
-def _read_amount(name, value):
+def _read_non_negative(name, value):
     amount = float(value)
     if not 0.0 <= amount < math.inf:
         raise ValueError(f"workspace {name!r} may send {value!r}")
@@ -149,17 +149,17 @@
     is checked, also those that nothing here uses. Raises ``ValueError``,
     ``KeyError`` or ``TypeError`` where the entry is not one of an upstream.
     """
-    _take(spec, "version", str)
-    _take(spec, "seq", int)
+    _get_typed(spec, "version", str)
+    _get_typed(spec, "seq", int)
     return Upstream(
         id=name,
-        service=_take(spec, "service", str),
-        address=_read_address(_take(spec, "address", str)),
-        availability_zone=_take(spec, "zone", str),
-        slots=_read_slots(_take(spec, "slots", int)),
-        leaving=_LEAVING_BY_STATE[_take(spec, "state", str)],
+        service=_get_typed(spec, "service", str),
+        address=_read_address(_get_typed(spec, "address", str)),
+        availability_zone=_get_typed(spec, "zone", str),
+        slots=_read_slots(_get_typed(spec, "slots", int)),
+        leaving=_LEAVING_BY_STATE[_get_typed(spec, "state", str)],
         cold_s=read_seconds(spec["cold_remaining"]),
-        born_ms=_take(spec, "born", int) if "born" in spec else 0,
+        born_ms=_get_typed(spec, "born", int) if "born" in spec else 0,
     )
 
 
@@ -168,12 +168,12 @@
 
     Raises as ``read_upstream`` does.
     """
-    host = _take(spec, "host", str)
+    host = _get_typed(spec, "host", str)
     ipaddress.IPv4Address(host)
-    return host, _take(spec, "zone", str)
+    return host, _get_typed(spec, "zone", str)
 
 
-def _take(spec, name, kind):
+def _get_typed(spec, name, kind):
     value = spec[name]
     # To Python a bool is a whole number.
     if not isinstance(value, kind) or isinstance(value, bool):
--- a/godwitlanding/platform/settings.py
+++ b/godwitlanding/platform/settings.py
@@ -13,7 +13,7 @@
 
 SETTINGS_VARIABLE = "GODWITLANDING_SETTINGS"
 # Where the platform tells none, all VMs count as alike.
-UNKNOWN_LINK_MBPS = 1000.0
+DEFAULT_LINK_MBPS = 1000.0
 
 
 class Bounds(NamedTuple):
@@ -70,7 +70,7 @@
         self._document = document
         self.problems = []
 
-    def take(self, path, read=str, default=_MISSING):
+    def get_value(self, path, read=str, default=_MISSING):
         value = self._document
         for part in path.split("."):
             value = value.get(part, _MISSING) if isinstance(value, dict) else _MISSING
@@ -110,52 +110,52 @@
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         return Err([str(error)])
     reader = _Reader(document)
-    settings = _take_settings(reader)
+    settings = _build_settings(reader)
     return Err(reader.problems) if reader.problems else Ok(settings)
 
 
-def _take_settings(reader):
+def _build_settings(reader):
     return VmSettings(
-        vm=reader.take("self.node"),
-        ip=reader.take("self.ip"),
-        availability_zone=reader.take("self.zone"),
-        region=reader.take("self.region"),
-        region_by_zone=reader.take("network.zones", dict),
-        caller_address=reader.take("network.listen.front", _read_address),
-        directory_address=reader.take("network.listen.directory", _read_address),
-        ready_address=reader.take("network.listen.ready", _read_address),
-        peer_port=reader.take("network.internal_port_range", lambda r: int(r[0])),
-        store_address=reader.take("provider.provider.address", _read_address),
-        capacity=_take_capacity(reader),
-        bounds=_take_bounds(reader),
+        vm=reader.get_value("self.node"),
+        ip=reader.get_value("self.ip"),
+        availability_zone=reader.get_value("self.zone"),
+        region=reader.get_value("self.region"),
+        region_by_zone=reader.get_value("network.zones", dict),
+        caller_address=reader.get_value("network.listen.front", _read_address),
+        directory_address=reader.get_value("network.listen.directory", _read_address),
+        ready_address=reader.get_value("network.listen.ready", _read_address),
+        peer_port=reader.get_value("network.internal_port_range", lambda r: int(r[0])),
+        store_address=reader.get_value("provider.provider.address", _read_address),
+        capacity=_build_capacity(reader),
+        bounds=_build_bounds(reader),
     )
 
 
-def _take_capacity(reader):
+def _build_capacity(reader):
     limits = "self.limits."
-    link_mbps = reader.take(limits + "link_mbps", float, UNKNOWN_LINK_MBPS)
-    share = reader.take(limits + "cpu_share", float, 1.0)
+    link_mbps = reader.get_value(limits + "link_mbps", float, DEFAULT_LINK_MBPS)
+    share = reader.get_value(limits + "cpu_share", float, 1.0)
     # How many times as fast as one core the VM's is; the share is of that.
-    speed = reader.take(limits + "cores", float, 1.0)
+    speed = reader.get_value(limits + "cores", float, 1.0)
     if None in (link_mbps, share, speed):
         return None
     return Capacity(link_mbps, share * speed)
 
 
-def _take_bounds(reader):
+def _build_bounds(reader):
     bounds = "terms.bounds."
     return Bounds(
-        config_s=reader.take(bounds + "config", read_seconds, 2.5),
-        stop_s=reader.take(bounds + "grace", read_seconds, 6.0),
-        retry_ratio=reader.take(bounds + "budget_ratio", float, 0.2),
-        retry_window_s=reader.take(bounds + "budget_window", read_seconds, 10.0),
-        retry_slack=reader.take(bounds + "budget_slack", float, 60.0),
+        config_s=reader.get_value(bounds + "config", read_seconds, 2.5),
+        stop_s=reader.get_value(bounds + "grace", read_seconds, 6.0),
+        retry_ratio=reader.get_value(bounds + "budget_ratio", float, 0.2),
+        retry_window_s=reader.get_value(bounds + "budget_window", read_seconds, 10.0),
+        retry_slack=reader.get_value(bounds + "budget_slack", float, 60.0),
         allotment=Tolerance(
-            window_s=reader.take(bounds + "quota_window", read_seconds, 5.0),
-            over_share=reader.take(bounds + "quota_over", float, 0.1),
-            over_requests=reader.take(bounds + "quota_slack", float, 20.0),
+            window_s=reader.get_value(bounds + "quota_window", read_seconds, 5.0),
+            over_share=reader.get_value(bounds + "quota_over", float, 0.1),
+            over_requests=reader.get_value(bounds + "quota_slack", float, 20.0),
         ),
-        strict_revoke=reader.take(bounds + "strict_revoke", bool, False),
-        revoke_s=reader.take(bounds + "revoke", read_seconds, 5.0),
-        directory_ttl_s=reader.take(bounds + "ttl_max", read_seconds, 5.0),
+        strict_revoke=reader.get_value(bounds + "strict_revoke", bool, False),
+        revoke_s=reader.get_value(bounds + "revoke", read_seconds, 5.0),
+        directory_ttl_s=reader.get_value(bounds + "ttl_max", read_seconds, 5.0),
     )
--- a/godwitlanding/platform/store.py
+++ b/godwitlanding/platform/store.py
@@ -14,7 +14,7 @@
 from result import Err, Ok
 
 from godwitlanding.base.codes import Code, make_refusal
-from godwitlanding.base.stored import (
+from godwitlanding.base.storetypes import (
     Snapshot,
     StoredObject,
     WatchBatch,
@@ -40,9 +40,9 @@
 
 
 # The one upstream of the pool.
-_STORE = "store"
+_POOL_KEY = "store"
 # Rises by one each time that the store comes back from an older copy.
-_ERA = b"store-era"
+_ERA_HEADER = b"store-era"
 
 
 class _Reply(NamedTuple):
@@ -67,7 +67,7 @@
         # The highest that was heard of, ``None`` before the first answer.
         self._era = None
 
-    async def snapshot(self, kind, may_be_old=False):
+    async def snapshot(self, kind, allow_stale=False):
         """Return ``Ok(Snapshot)`` of all objects of a kind.
 
         One that ``may_be_old`` is some seconds behind; it costs a tenth and
@@ -79,10 +79,10 @@
         after = ""
         while True:
             query = {"after": after} if after else {}
-            if may_be_old:
+            if allow_stale:
                 query["stale_ok"] = "1"
             answer = await self._call(
-                "old_list" if may_be_old else "list", "GET", kind, query=query
+                "old_list" if allow_stale else "list", "GET", kind, query=query
             )
             if answer.is_err():
                 return answer
@@ -121,15 +121,15 @@
         if expected_version == 0:
             answer = await self._call("create", "POST", kind, body=body)
         else:
-            if self._is_over(expected_version):
+            if self._is_expired(expected_version):
                 return Err(make_refusal(Code.VERSION_CONFLICT))
             metadata["rev"] = get_revision(expected_version)
             answer = await self._call("put", "PUT", f"{kind}/{name}", body=body)
-        return answer.and_then(self._read_written)
+        return answer.and_then(self._read_written_version)
 
     async def delete(self, kind, name, expected_version):
         """Delete if the version is as expected; ``Ok(version)``."""
-        if self._is_over(expected_version):
+        if self._is_expired(expected_version):
             return Err(make_refusal(Code.VERSION_CONFLICT))
         query = {"rev": str(get_revision(expected_version))}
         answer = await self._call("delete", "DELETE", f"{kind}/{name}", query=query)
@@ -137,7 +137,7 @@
 
     async def watch(self, kind, after, timeout_s):
         """Wait for changes of a kind; ``Ok(WatchBatch)``, maybe empty."""
-        if self._is_over(after):
+        if self._is_expired(after):
             return Err(make_refusal(Code.WATCH_EXPIRED))
         revision = str(get_revision(after))
         query = {"watch": revision, "wait_ms": str(int(timeout_s * 1000))}
@@ -175,7 +175,7 @@
         except (UpstreamError, TimeoutError) as error:
             return _make_unavailable(repr(error))
         era = _read_era(answer)
-        self._note_era(era)
+        self._update_era(era)
         if answer.status in (200, 201):
             try:
                 value = _read_json(answer.body) if answer.body else {}
@@ -185,7 +185,7 @@
         code = _CODE_BY_STATUS.get(answer.status, Code.PLATFORM_UNAVAILABLE)
         return Err(make_refusal(code, detail=f"answered {answer.status}"))
 
-    def _note_era(self, era):
+    def _update_era(self, era):
         if self._era is not None and era <= self._era:
             return
         log_message("store:era", era=era, former=self._era)
@@ -193,20 +193,22 @@
             self._counters.add("store_restored")
         self._era = era
 
-    def _read_written(self, reply):
+    def _read_written_version(self, reply):
         version = make_version(reply.era, int(reply.value["metadata"]["rev"]))
-        if self._is_over(version):
+        if self._is_expired(version):
             return _make_unavailable("written in an era that is over")
         return Ok(version)
 
-    def _is_over(self, version):
+    def _is_expired(self, version):
         return self._era is not None and get_era(version) < self._era
 
     async def _exchange(self, data):
         """Send a request and return its answer."""
-        connection = self._pool.take(_STORE, True)
+        connection = self._pool.take(_POOL_KEY, True)
         if connection is None:
-            connection = await self._pool.connect(_STORE, self._address, CALL_TIMEOUT_S)
+            connection = await self._pool.connect(
+                _POOL_KEY, self._address, CALL_TIMEOUT_S
+            )
         is_whole = False
         try:
             answer = await connection.send(data, b"", False)
@@ -215,7 +217,7 @@
             if not is_whole:
                 # What may still come on it belongs to no other call.
                 connection.abort()
-        self._pool.give_back(_STORE, connection)
+        self._pool.give_back(_POOL_KEY, connection)
         return answer
 
     def _make_request(self, method, path, query, body):
@@ -235,7 +237,7 @@
 
 
 def _read_era(answer):
-    text = answer.get_header(_ERA)
+    text = answer.get_header(_ERA_HEADER)
     return int(text) if text.isdigit() else 0
 
 
--- a/godwitlanding/program.py
+++ b/godwitlanding/program.py
@@ -41,8 +41,9 @@
 from godwitlanding.gateway.savedmap import SavedMap
 from godwitlanding.gateway.upstream import UpstreamPool
 from godwitlanding.gateway.workspacegauges import WorkspaceGauges
-from godwitlanding.platform.doors import make_directory, make_readiness
-from godwitlanding.platform.entries import (
+from godwitlanding.platform.endpoints import make_directory, make_readiness
+from godwitlanding.platform.headers import HEADER_NAMES, read_self_report
+from godwitlanding.platform.objects import (
     CONFIG_KIND,
     CONFIG_NAME,
     EVACUATION_KIND,
@@ -53,7 +54,6 @@
     read_upstream,
     read_vm,
 )
-from godwitlanding.platform.headers import HEADER_NAMES, read_self_report
 from godwitlanding.platform.settings import get_change_time, read_settings
 from godwitlanding.platform.store import ObjectStore
 
@@ -62,10 +62,10 @@
 EXIT_FAILED = 1
 METRICS_PATH = "/metrics"
 # Nothing in the settings has to be in force sooner than a configuration.
-SETTINGS_LOOK_S = 1.0
+SETTINGS_POLL_S = 1.0
 # Each line is written at once; this is for what a slow reader did not take.
-FLUSH_PAUSE_S = 0.5
-_UNREADABLE = (ValueError, LookupError, TypeError, AttributeError, ArithmeticError)
+FLUSH_INTERVAL_S = 0.5
+_DECODE_ERRORS = (ValueError, LookupError, TypeError, AttributeError, ArithmeticError)
 
 
 class Program:
@@ -105,7 +105,7 @@
             settings,
             self.fleet,
             self.occupancy,
-            self._take_crash,
+            self._record_crash,
             self.object_map,
             AllotmentNews(self.allotments),
             self.limits,
@@ -229,7 +229,7 @@
     def _make_mirror(self, kind, apply, **keywords):
         return Mirror(self.store, kind, apply, **keywords)
 
-    def take_settings(self, settings):
+    def apply_settings(self, settings):
         """Put changed settings in force; addresses change by a restart."""
         self._settings = settings
         bounds = settings.bounds
@@ -256,7 +256,7 @@
             return True
         return self.reader.get_out_of_touch_s() <= bounds.revoke_s
 
-    def _take_crash(self, crash):
+    def _record_crash(self, crash):
         self.poison.note_report(crash.fingerprint, crash.upstream, 1, self._now())
 
     def _apply_config(self, name, version, value):
@@ -264,7 +264,7 @@
             return
         try:
             config = read_config(orjson.loads(value))
-        except _UNREADABLE as error:
+        except _DECODE_ERRORS as error:
             # The last good configuration stays in force.
             _log_unreadable(CONFIG_KIND, name, version, error)
             return
@@ -276,7 +276,7 @@
             return
         try:
             upstream = read_upstream(name, orjson.loads(value))
-        except _UNREADABLE as error:
+        except _DECODE_ERRORS as error:
             # Somebody else wrote over it: whatever is at the address now,
             # nothing tells that it is the upstream it was.
             _log_unreadable(UPSTREAM_KIND, name, version, error)
@@ -301,7 +301,7 @@
             return
         try:
             host, availability_zone = read_vm(orjson.loads(value))
-        except _UNREADABLE as error:
+        except _DECODE_ERRORS as error:
             _log_unreadable(VM_KIND, name, version, error)
             self.peers.note_vm(name, None, "")
             return
@@ -329,7 +329,7 @@
     program = Program(settings, arguments.metrics_port, counters)
     kernel = Kernel(program.make_services())
     tasks = [
-        start_task(_flush_often(stream)),
+        start_task(_flush_periodically(stream)),
         start_task(_reload_when_changed(program, path, changed_at)),
     ]
     try:
@@ -352,23 +352,23 @@
             problems=read.unwrap_err(),
         )
         return
-    program.take_settings(read.unwrap())
+    program.apply_settings(read.unwrap())
     log_message("vm:reloaded", reason=reason)
 
 
 async def _reload_when_changed(program, path, former):
     # The file may change without a signal.
     while True:
-        await asyncio.sleep(SETTINGS_LOOK_S)
+        await asyncio.sleep(SETTINGS_POLL_S)
         changed = get_change_time(path)
         if changed != former:
             former = changed
             reload(program, path, "file changed")
 
 
-async def _flush_often(stream):
+async def _flush_periodically(stream):
     while True:
-        await asyncio.sleep(FLUSH_PAUSE_S)
+        await asyncio.sleep(FLUSH_INTERVAL_S)
         stream.flush()
 
 
--- a/godwitlanding/tests/base/test_config.py
+++ b/godwitlanding/tests/base/test_config.py
@@ -28,7 +28,7 @@
 }"""
 
 
-def test_text_is_read():
+def test_valid_text_is_parsed():
     config = parse_config(TEXT).unwrap()
     status = config.service_by_name["status"]
     assert status.get_upstreams("n-b")[0].slots == 3
@@ -63,15 +63,15 @@
         ),
     ],
 )
-def test_mistake_is_named(old, new, code, line, words):
+def test_problem_has_its_code_and_line(old, new, code, line, expected_text):
     problems = parse_config(TEXT.replace(old, new)).unwrap_err()
     assert problems[0].code is code
-    assert words in str(problems[0])
+    assert expected_text in str(problems[0])
     if line:
         assert problems[0].line == line
 
 
-def test_all_mistakes_are_listed_at_once():
+def test_all_problems_are_reported_together():
     text = TEXT.replace("format: 1", "format: 9").replace("lookup", "look")
     assert len(parse_config(text).unwrap_err()) == 2
 
@@ -81,7 +81,7 @@
     assert parse_config(text).is_err()
 
 
-def test_difference_is_told():
+def test_difference_is_described():
     old = parse_config(TEXT).unwrap()
     new = parse_config(TEXT.replace("share: 0.5", "share: 0.4")).unwrap()
     changes = diff_configurations(old, new)
@@ -91,14 +91,14 @@
     assert diff_configurations(None, new)[0].sign == "+"
 
 
-def test_settings_are_completed():
+def test_settings_get_defaults():
     text = """{vm: "a1", address: "127.0.1.1", availability_zone: "n-a",
                platform_url: "http://127.0.0.9:7000"}"""
     settings = check_settings(text).unwrap()
     assert settings["steer_port"] == SETTINGS["steer_port"].default
 
 
-def test_unknown_setting_names_the_nearest():
+def test_unknown_setting_suggests_the_closest_key():
     problems = check_settings("{steer_prot: 1}").unwrap_err()
     assert "did you mean 'steer_port'" in str(problems[0])
     assert len(problems) == 5
--- a/godwitlanding/tests/base/test_foundation.py
+++ b/godwitlanding/tests/base/test_foundation.py
@@ -30,7 +30,7 @@
     assert set(ROW_BY_CODE) == set(Code)
 
 
-async def test_services_start_after_their_needs_and_stop_before():
+async def test_services_start_and_stop_in_dependency_order():
     journal = []
     kernel = Kernel([Recorder("b", ("a",), journal), Recorder("a", (), journal)])
     await kernel.start()
@@ -38,7 +38,7 @@
     assert journal == ["+a", "+b", "-b", "-a"]
 
 
-async def test_failed_start_stops_what_had_started():
+async def test_failed_start_stops_the_started_services():
     journal = []
     broken = Recorder("b", ("a",), journal, fails=True)
     kernel = Kernel([Recorder("a", (), journal), broken])
@@ -55,8 +55,8 @@
         ([Recorder("a", ("b",)), Recorder("b", ("a",))], "need each other"),
     ],
 )
-def test_kernel_refuses(services, words):
-    with pytest.raises(KernelError, match=words):
+def test_kernel_rejects_invalid_services(services, expected_text):
+    with pytest.raises(KernelError, match=expected_text):
         Kernel(services).get_names()
 
 
@@ -66,18 +66,18 @@
         decode(data)
 
 
-def test_message_survives_the_wire():
+def test_message_round_trips():
     envelope = Envelope(9, True, State("config", "main", 3, b"{}"))
     assert decode(encode(envelope)) == envelope
 
 
 @pytest.mark.parametrize(("offered", "taken"), [(6, False), (7, False), (8, True)])
-def test_replica_never_goes_back(offered, taken):
+def test_replica_keeps_the_highest_version(offered, accepted):
     """A peer that was cut off offers the version it last saw.
 
     Users would notice a change that they had seen in force disappear.
     """
     replica = Replica()
     replica.offer(State("config", "main", 7, b"seven"))
-    assert replica.offer(State("config", "main", offered, b"x")) is taken
+    assert replica.offer(State("config", "main", offered, b"x")) is accepted
     assert replica.get_version("config", "main") == max(7, offered)
--- a/godwitlanding/tests/base/test_store.py
+++ b/godwitlanding/tests/base/test_store.py
@@ -7,7 +7,7 @@
 
 from godwitlanding.base.codes import Code
 from godwitlanding.base.store import HttpStore
-from godwitlanding.base.stored import MAX_VALUE_BYTES
+from godwitlanding.base.storetypes import MAX_VALUE_BYTES
 from godwitlanding.tests.standins.listener import Listener
 from godwitlanding.tests.standins.standin_platform import Platform
 from godwitlanding.tests.support import FakeStore
@@ -19,7 +19,7 @@
 VM = {"vm": "a1", "address": "127.0.10.1", "availability_zone": "a", "state": "live"}
 
 
-class FakeBench:
+class FakeHarness:
     """Turns the fake's switches."""
 
     def __init__(self):
@@ -34,7 +34,7 @@
     async def set_vms(self, row):
         self.store.set_vms(tuple(row.values()))
 
-    async def turn_back(self, write):
+    async def write_then_restore(self, write):
         snapshot = self.store.objects.take_snapshot()
         await write()
         self.store.objects.restore(snapshot)
@@ -43,7 +43,7 @@
         await self.store.close()
 
 
-class HttpBench:
+class HttpHarness:
     """Turns the switches of the stand-in over HTTP."""
 
     def __init__(self):
@@ -63,7 +63,7 @@
         async with self._session.put("/standin/vms", json={"vms": [row]}) as answer:
             assert answer.status == 200
 
-    async def turn_back(self, write):
+    async def write_then_restore(self, write):
         async with self._session.post("/standin/snapshot"):
             await write()
         async with self._session.post("/standin/restore"):
@@ -76,14 +76,14 @@
 
 
 @pytest.fixture(params=["fake", "http"])
-async def bench(request):
-    made = FakeBench() if request.param == "fake" else await HttpBench().start()
+async def harness(request):
+    made = FakeHarness() if request.param == "fake" else await HttpHarness().start()
     yield made
     await made.close()
 
 
-async def test_versions_grow_over_all_objects(bench):
-    store = bench.store
+async def test_versions_grow_over_all_objects(harness):
+    store = harness.store
     first = (await store.put("config", "main", b"one", 0)).unwrap()
     other = (await store.put("plan", "main", b"plan", 0)).unwrap()
     second = (await store.put("config", "main", b"two", first)).unwrap()
@@ -95,11 +95,11 @@
 
 
 @pytest.mark.parametrize("name", ["a/b", "a b", "ä%2F", "x?y=1#z"])
-async def test_any_name_comes_back(bench, name):
-    version = (await bench.store.put("claim", name, b"\x00\xff", 0)).unwrap()
-    assert (await bench.store.get("claim", name)).unwrap().value == b"\x00\xff"
-    assert (await bench.store.list("claim")).unwrap()[0].name == name
-    assert (await bench.store.delete("claim", name, version)).is_ok()
+async def test_any_name_round_trips(harness, name):
+    version = (await harness.store.put("claim", name, b"\x00\xff", 0)).unwrap()
+    assert (await harness.store.get("claim", name)).unwrap().value == b"\x00\xff"
+    assert (await harness.store.list("claim")).unwrap()[0].name == name
+    assert (await harness.store.delete("claim", name, version)).is_ok()
 
 
 @pytest.mark.parametrize(
@@ -119,22 +119,22 @@
         ("watch", ("config", 99, 0.1), Code.WATCH_EXPIRED),
     ],
 )
-async def test_refused_calls(bench, operation, arguments, code):
-    written = await bench.store.put("config", "main", b"one", 0)
-    answer = await getattr(bench.store, operation)(*arguments)
+async def test_refused_calls(harness, operation, arguments, code):
+    written = await harness.store.put("config", "main", b"one", 0)
+    answer = await getattr(harness.store, operation)(*arguments)
     assert answer.unwrap_err().code is code
-    kept = (await bench.store.get("config", "main")).unwrap()
+    kept = (await harness.store.get("config", "main")).unwrap()
     assert kept.version == written.unwrap()
 
 
-async def test_largest_value_is_kept(bench):
+async def test_largest_value_is_stored(harness):
     value = bytes(MAX_VALUE_BYTES)
-    assert (await bench.store.put("blocks", "piece", value, 0)).is_ok()
-    assert (await bench.store.get("blocks", "piece")).unwrap().value == value
+    assert (await harness.store.put("blocks", "piece", value, 0)).is_ok()
+    assert (await harness.store.get("blocks", "piece")).unwrap().value == value
 
 
-async def test_watch_waits_for_its_kind(bench):
-    store = bench.store
+async def test_watch_ignores_other_kinds(harness):
+    store = harness.store
     version = (await store.put("config", "main", b"one", 0)).unwrap()
     watch = asyncio.ensure_future(store.watch("config", version, 30.0))
     await asyncio.sleep(0.05)
@@ -149,21 +149,21 @@
     assert event.deleted
 
 
-async def test_watch_from_nothing_gives_what_there_is(bench):
-    await bench.store.put("config", "main", b"one", 0)
-    (event,) = (await bench.store.watch("config", 0, 1.0)).unwrap().events
+async def test_watch_from_version_zero_returns_existing_objects(harness):
+    await harness.store.put("config", "main", b"one", 0)
+    (event,) = (await harness.store.watch("config", 0, 1.0)).unwrap().events
     assert event.stored.value == b"one"
 
 
-async def test_watch_without_a_change_ends_empty(bench):
-    version = (await bench.store.put("config", "main", b"one", 0)).unwrap()
-    batch = (await bench.store.watch("config", version, 0.05)).unwrap()
+async def test_watch_without_a_change_returns_no_events(harness):
+    version = (await harness.store.put("config", "main", b"one", 0)).unwrap()
+    batch = (await harness.store.watch("config", version, 0.05)).unwrap()
     assert batch.events == ()
 
 
-async def test_vm_list(bench):
-    await bench.set_vms(VM)
-    listed = (await bench.store.list_vms()).unwrap()
+async def test_vm_list(harness):
+    await harness.set_vms(VM)
+    listed = (await harness.store.list_vms()).unwrap()
     assert listed.version > 0
     assert listed.vms == (tuple(VM.values()),)
 
@@ -179,90 +179,88 @@
         ("list_vms", ()),
     ],
 )
-async def test_outage_fails_every_call(bench, operation, arguments):
+async def test_outage_fails_every_call(harness, operation, arguments):
     """The platform is down for a while.
 
     Operators notice that nothing can be applied; what runs goes on.
     """
-    await bench.set_faults(outage="refuse")
-    answer = await getattr(bench.store, operation)(*arguments)
+    await harness.set_faults(outage="refuse")
+    answer = await getattr(harness.store, operation)(*arguments)
     assert answer.unwrap_err().code is Code.PLATFORM_UNAVAILABLE
-    await bench.set_faults(outage="none")
-    assert (await bench.store.list("config")).unwrap() == ()
+    await harness.set_faults(outage="none")
+    assert (await harness.store.list("config")).unwrap() == ()
 
 
-async def test_waiting_watch_ends_with_the_outage(bench):
+async def test_waiting_watch_fails_when_an_outage_begins(harness):
     """The platform goes down while a member waits for a change.
 
     A wait that went on would miss that the platform is away at all.
     """
-    version = (await bench.store.put("config", "main", b"one", 0)).unwrap()
-    watch = asyncio.ensure_future(bench.store.watch("config", version, 30.0))
+    version = (await harness.store.put("config", "main", b"one", 0)).unwrap()
+    watch = asyncio.ensure_future(harness.store.watch("config", version, 30.0))
     await asyncio.sleep(0.05)
-    await bench.set_faults(outage="refuse")
+    await harness.set_faults(outage="refuse")
     assert (await watch).unwrap_err().code is Code.PLATFORM_UNAVAILABLE
 
 
-async def test_write_whose_answer_is_lost_has_taken_effect(bench):
+async def test_write_with_a_lost_response_has_taken_effect(harness):
     """The connection breaks after the platform has done a write.
 
     The writer is told that the platform is away and finds its write there
     when it reads back.
     """
-    await bench.store.list("config")
-    await bench.set_faults(lost_answers=1)
-    answer = await bench.store.put("config", "main", b"one", 0)
+    await harness.store.list("config")
+    await harness.set_faults(lost_answers=1)
+    answer = await harness.store.put("config", "main", b"one", 0)
     assert answer.unwrap_err().code is Code.PLATFORM_UNAVAILABLE
-    assert (await bench.store.get("config", "main")).unwrap().value == b"one"
+    assert (await harness.store.get("config", "main")).unwrap().value == b"one"
 
 
-async def test_slow_write_takes_effect_after_its_timeout(bench):
+async def test_slow_write_takes_effect_after_its_timeout(harness):
     """The platform is so slow that the writer gives up first.
 
     Its write takes effect later, when another may already have been sent.
     """
-    await bench.set_faults(delay_s=1.0)
-    answer = await bench.store.put("config", "main", b"one", 0)
+    await harness.set_faults(delay_s=1.0)
+    answer = await harness.store.put("config", "main", b"one", 0)
     assert answer.unwrap_err().code is Code.PLATFORM_UNAVAILABLE
-    await bench.set_faults()
-    batch = await bench.store.watch("config", 0, 0.1)
+    await harness.set_faults()
+    batch = await harness.store.watch("config", 0, 0.1)
     for _ in range(100):
         if batch.is_ok() and batch.unwrap().events:
             break
-        await bench.set_faults(delay_s=0.0)
-        batch = await bench.store.watch("config", 0, 0.1)
+        await harness.set_faults(delay_s=0.0)
+        batch = await harness.store.watch("config", 0, 0.1)
         await asyncio.sleep(0.05)
     assert batch.unwrap().events[0].stored.value == b"one"
 
 
-async def test_rate_limit_refuses_writes(bench):
-    await bench.set_faults(writes_per_s=0)
-    answer = await bench.store.put("config", "main", b"one", 0)
+async def test_rate_limit_refuses_writes(harness):
+    await harness.set_faults(writes_per_s=0)
+    answer = await harness.store.put("config", "main", b"one", 0)
     assert answer.unwrap_err().code is Code.RATE_LIMITED
 
 
-async def test_restored_platform_refuses_newer_watches(bench):
+async def test_watch_from_a_version_lost_by_a_restore_has_expired(harness):
     """The platform comes back from a backup that misses the last writes.
 
     Members that go on from the version they know would wait for ever.
     """
-    store = bench.store
+    store = harness.store
     newest = []
 
     async def write():
         newest.append((await store.put("config", "main", b"one", 0)).unwrap())
 
-    await bench.turn_back(write)
+    await harness.write_then_restore(write)
     answer = await store.watch("config", newest[0], 0.1)
     assert answer.unwrap_err().code is Code.WATCH_EXPIRED
     assert (await store.get("config", "main")).unwrap_err().code is Code.NOT_FOUND
 
 
 @pytest.mark.parametrize("writes", [1, 5])
-async def test_versions_that_a_restored_platform_gives_again_are_other_ones(
-    bench, writes
-):
-    store = bench.store
+async def test_revision_reused_after_a_restore_is_a_new_version(harness, writes):
+    store = harness.store
     kept = (await store.put("plan", "main", b"kept", 0)).unwrap()
     lost = []
 
@@ -271,7 +269,7 @@
             name = f"lost-{number}"
             lost.append((await store.put("plan", name, b"lost", 0)).unwrap())
 
-    await bench.turn_back(write)
+    await harness.write_then_restore(write)
     # What the copy holds keeps its version.
     assert (await store.get("plan", "main")).unwrap().version == kept
     for number in range(writes):
@@ -291,7 +289,7 @@
 @pytest.mark.parametrize(
     "body", [b"", b"[]", b"{}", b'{"objects": [{"name": 1}]}', b"\xff"]
 )
-async def test_unreadable_answer_is_no_answer(body):
+async def test_unreadable_response_is_an_error(body):
     """A proxy or a new version of the platform answers something else."""
 
     async def answer(scope, receive, send):
--- a/godwitlanding/tests/base/test_tasks.py
+++ b/godwitlanding/tests/base/test_tasks.py
@@ -8,7 +8,7 @@
 from godwitlanding.base.tasks import Tasks, end_tasks, start_task
 
 
-async def wait_in_turns(answered, rounds):
+async def wait_repeatedly(answered, rounds):
     """Wait for answers as the loops of services do."""
     while True:
         await asyncio.wait_for(answered.wait(), 1000)
@@ -16,11 +16,11 @@
         rounds.append(1)
 
 
-async def run_and_answer(tasks):
+async def run_until_result(tasks):
     """Run a loop whose answer comes just before it is cancelled."""
     answered = asyncio.Event()
     rounds = []
-    task = tasks.run(wait_in_turns(answered, rounds))
+    task = tasks.run(wait_repeatedly(answered, rounds))
     await asyncio.sleep(1)
     answered.set()
     # The inner wait ends here, the loop itself has not run on yet.
@@ -29,38 +29,38 @@
 
 
 @pytest.mark.looptime
-async def test_answer_and_cancellation_come_together():
+async def test_stop_ends_a_task_whose_cancellation_was_lost():
     """A loop is told to stop in the moment in which its answer arrives.
 
     asyncio.wait_for then returns the answer and the cancellation is lost:
     the loop would go on, and a planned stop would never come to its end.
     """
     tasks = Tasks()
-    task, rounds = await run_and_answer(tasks)
+    task, rounds = await run_until_result(tasks)
     await asyncio.wait_for(tasks.stop(), 60)
     assert task.done()
     assert rounds == [1]
 
 
 @pytest.mark.looptime
-async def test_one_task_is_ended_among_others():
+async def test_one_of_several_tasks_is_ended():
     """A member that watches no longer must not go on watching unseen."""
     tasks = Tasks()
     other = tasks.run(asyncio.sleep(10_000))
-    task, _ = await run_and_answer(tasks)
+    task, _ = await run_until_result(tasks)
     await asyncio.wait_for(end_tasks([task]), 60)
     assert task.done() and not other.done()
     await tasks.stop()
 
 
 @pytest.mark.looptime
-async def test_ending_nothing_ends_at_once():
+async def test_ending_no_tasks_returns_at_once():
     await end_tasks([])
     await Tasks().stop()
 
 
 @pytest.mark.parametrize("fails", [True, False])
-async def test_background_failure_is_logged_while_its_task_is_held(fails):
+async def test_failure_of_a_referenced_task_is_logged(fails):
     # Guards against a loop that ends unnoticed.
     async def run():
         if fails:
--- a/godwitlanding/tests/base/test_wire.py
+++ b/godwitlanding/tests/base/test_wire.py
@@ -29,11 +29,11 @@
     return struct.pack("<I", len(data)) + data
 
 
-def _greet(hello=HELLO):
+def _hello_frame(hello=HELLO):
     return _frame(encode(Envelope(0, False, hello)))
 
 
-class Bench:
+class Harness:
     """A server with one handler, and a pool that calls it."""
 
     def __init__(self, handler):
@@ -64,7 +64,7 @@
     return State(message.kind, message.name, 1, b"")
 
 
-async def test_answers_out_of_order_reach_their_own_caller():
+async def test_out_of_order_responses_match_their_calls():
     """A slow question is overtaken by quick ones on the same connection.
 
     Were answers matched by order, callers would get each other's answers.
@@ -76,16 +76,16 @@
             await release.wait()
         return await _echo(channel, message)
 
-    async with Bench(answer) as bench:
-        slow = asyncio.ensure_future(bench.call(Fetch("k", "slow")))
+    async with Harness(answer) as harness:
+        slow = asyncio.ensure_future(harness.call(Fetch("k", "slow")))
         names = [f"quick-{number}" for number in range(20)]
-        answers = await asyncio.gather(*(bench.call(Fetch("k", n)) for n in names))
+        answers = await asyncio.gather(*(harness.call(Fetch("k", n)) for n in names))
         assert [a.unwrap().name for a in answers] == names
         release.set()
         assert (await slow).unwrap().name == "slow"
 
 
-async def test_answer_after_its_timeout_is_dropped():
+async def test_response_after_its_timeout_is_dropped():
     """The peer answers after the caller has stopped waiting.
 
     Were it kept, the next call could take it for its own answer.
@@ -97,12 +97,12 @@
             await release.wait()
         return await _echo(channel, message)
 
-    async with Bench(answer) as bench:
-        late = await bench.call(Fetch("k", "late"), 0.01)
+    async with Harness(answer) as harness:
+        late = await harness.call(Fetch("k", "late"), 0.01)
         assert late.unwrap_err().code is Code.CALL_TIMEOUT
         release.set()
-        assert (await bench.call(Fetch("k", "next"))).unwrap().name == "next"
-        assert bench.counters.get("wire_dropped", reason="late_answer") == 1
+        assert (await harness.call(Fetch("k", "next"))).unwrap().name == "next"
+        assert harness.counters.get("wire_dropped", reason="late_answer") == 1
 
 
 @pytest.mark.parametrize(
@@ -110,53 +110,53 @@
     [
         (b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", Code.FRAME_TOO_LARGE),
         (_frame(b"garbage!" * 4), Code.GARBAGE_FRAME),
-        (_greet() + _frame(b"\xff" * 64), Code.GARBAGE_FRAME),
-        (_greet() + struct.pack("<I", MAX_FRAME_BYTES + 1), Code.FRAME_TOO_LARGE),
-        (_greet(HELLO._replace(protocol=99)), Code.PROTOCOL_MISMATCH),
+        (_hello_frame() + _frame(b"\xff" * 64), Code.GARBAGE_FRAME),
+        (_hello_frame() + struct.pack("<I", MAX_FRAME_BYTES + 1), Code.FRAME_TOO_LARGE),
+        (_hello_frame(HELLO._replace(protocol=99)), Code.PROTOCOL_MISMATCH),
         (_frame(encode(Envelope(1, False, Ack()))), Code.PROTOCOL_MISMATCH),
     ],
 )
-async def test_bad_bytes_end_their_connection_only(sent, code):
+async def test_invalid_bytes_close_only_their_connection(sent, code):
     """Something that is not our protocol talks to the internal port.
 
     A port scanner or an older version must neither end the process nor
     disturb the peers that it serves.
     """
-    async with Bench(_echo) as bench:
-        reader, writer = await bench.dial()
+    async with Harness(_echo) as harness:
+        reader, writer = await harness.dial()
         writer.write(sent)
         await asyncio.wait_for(reader.read(), TIMEOUT_S)
         writer.close()
-        assert bench.counters.get("wire_refused", code=code.name) == 1
-        assert (await bench.call(Fetch("k", "x"))).is_ok()
+        assert harness.counters.get("wire_refused", code=code.name) == 1
+        assert (await harness.call(Fetch("k", "x"))).is_ok()
 
 
-async def test_peer_of_another_version_is_told_so():
-    async with Bench(_echo) as bench:
+async def test_protocol_mismatch_is_reported_to_the_peer():
+    async with Harness(_echo) as harness:
         other = Pool(HELLO._replace(protocol=99), {}, Counters())
-        answer = await other.call(bench.address, Fetch("k", "x"), TIMEOUT_S)
+        answer = await other.call(harness.address, Fetch("k", "x"), TIMEOUT_S)
         assert answer.unwrap_err().code is Code.PROTOCOL_MISMATCH
 
 
-async def test_handler_that_fails_answers_and_goes_on():
+async def test_handler_exception_becomes_a_failure_response():
     async def answer(channel, message):
         if message.name == "bad":
             raise KeyError("bad")
         return await _echo(channel, message)
 
-    async with Bench(answer) as bench:
-        failed = await bench.call(Fetch("k", "bad"))
+    async with Harness(answer) as harness:
+        failed = await harness.call(Fetch("k", "bad"))
         assert failed.unwrap_err().code is Code.HANDLER_FAILED
-        assert (await bench.call(Fetch("k", "good"))).is_ok()
+        assert (await harness.call(Fetch("k", "good"))).is_ok()
 
 
 async def test_message_without_a_handler_is_refused():
-    async with Bench(_echo) as bench:
-        answer = await bench.call(Withdraw("s", "r"))
+    async with Harness(_echo) as harness:
+        answer = await harness.call(Withdraw("s", "r"))
         assert answer.unwrap_err().code is Code.UNEXPECTED_MESSAGE
 
 
-async def test_calls_under_way_fail_at_once_when_the_connection_breaks():
+async def test_open_calls_fail_at_once_when_the_connection_breaks():
     """The peer dies with calls open.
 
     Their callers must not wait for the whole timeout, or a zone's requests
@@ -168,47 +168,47 @@
         reached.set()
         await asyncio.sleep(3600)
 
-    async with Bench(answer) as bench:
-        call = asyncio.ensure_future(bench.call(Fetch("k", "x"), 3600.0))
+    async with Harness(answer) as harness:
+        call = asyncio.ensure_future(harness.call(Fetch("k", "x"), 3600.0))
         await reached.wait()
-        await bench.server.stop()
+        await harness.server.stop()
         answer = await asyncio.wait_for(call, TIMEOUT_S)
         assert answer.unwrap_err().code is Code.PEER_UNREACHABLE
 
 
-async def test_pool_dials_again_after_a_break():
-    async with Bench(_echo) as bench:
-        assert (await bench.call(Fetch("k", "x"))).is_ok()
-        for channel in list(bench.server.channels):
+async def test_pool_reconnects_after_a_break():
+    async with Harness(_echo) as harness:
+        assert (await harness.call(Fetch("k", "x"))).is_ok()
+        for channel in list(harness.server.channels):
             channel.close()
         for _ in range(50):
-            if (await bench.call(Fetch("k", "x"))).is_ok():
+            if (await harness.call(Fetch("k", "x"))).is_ok():
                 return
         pytest.fail("the pool did not dial again")
 
 
-async def test_failure_codes_of_a_newer_peer_are_understood():
+async def test_unknown_failure_code_of_a_newer_peer_is_mapped():
     async def answer(channel, message):
         return Failure(9999, "from the future")
 
-    async with Bench(answer) as bench:
-        failed = await bench.call(Fetch("k", "x"))
+    async with Harness(answer) as harness:
+        failed = await harness.call(Fetch("k", "x"))
         assert failed.unwrap_err().code is Code.HANDLER_FAILED
         assert failed.unwrap_err().detail == "from the future"
 
 
 @pytest.mark.parametrize("greets", [True, False])
-async def test_stop_leaves_nothing_that_reads(greets):
+async def test_stop_leaves_no_reading_task(sends_hello):
     # A VM stops as planned while neighbours hold connections to it. What still
     # reads then is cancelled with the loop, and its end is printed as an error
     # that nobody expected, among the lines that an engineer looks through.
-    async with Bench(_echo) as bench:
+    async with Harness(_echo) as harness:
         before = asyncio.all_tasks()
-        reader, writer = await bench.dial()
-        if greets:
-            writer.write(_greet())
+        reader, writer = await harness.dial()
+        if sends_hello:
+            writer.write(_hello_frame())
         await reader.read(1)
         assert asyncio.all_tasks() - before
-        await bench.server.stop()
+        await harness.server.stop()
         assert not asyncio.all_tasks() - before
         writer.close()
--- a/godwitlanding/tests/conftest.py
+++ b/godwitlanding/tests/conftest.py
@@ -18,10 +18,10 @@
     if config.getoption("--known-red"):
         return
     known_red = read_known_red()
-    passed_over = [item for item in items if _get_name(item) in known_red]
-    if passed_over:
-        config.hook.pytest_deselected(items=passed_over)
-        items[:] = [item for item in items if item not in passed_over]
+    deselected = [item for item in items if _get_name(item) in known_red]
+    if deselected:
+        config.hook.pytest_deselected(items=deselected)
+        items[:] = [item for item in items if item not in deselected]
 
 
 def pytest_terminal_summary(terminalreporter, config):
--- a/godwitlanding/tests/daemons/test_journal.py
+++ b/godwitlanding/tests/daemons/test_journal.py
@@ -9,7 +9,7 @@
 from hypothesis import HealthCheck, given, settings, strategies as st
 
 from godwitlanding.base.codes import Code
-from godwitlanding.base.stored import StoredObject
+from godwitlanding.base.storetypes import StoredObject
 from godwitlanding.daemons.journal import Claim, Journal, close_journal
 from godwitlanding.daemons.journaltext import Closer, Outcome, parse_journal
 from godwitlanding.daemons.ticket import JOURNALED, MEMORY_ONLY, Ticket
--- a/godwitlanding/tests/decisions/test_choice.py
+++ b/godwitlanding/tests/decisions/test_choice.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from godwitlanding.base.stored import VmEntry
+from godwitlanding.base.storetypes import VmEntry
 from godwitlanding.daemons.fleet import list_targets
 from godwitlanding.daemons.view import Member
 from godwitlanding.decisions.choice import (
--- a/godwitlanding/tests/gateway/test_feed.py
+++ b/godwitlanding/tests/gateway/test_feed.py
@@ -6,7 +6,7 @@
 import pytest
 
 from godwitlanding.base.metrics import Counters
-from godwitlanding.base.stored import StoredObject
+from godwitlanding.base.storetypes import StoredObject
 from godwitlanding.gateway.change import Change
 from godwitlanding.gateway.feed import MAX_PART_BYTES, Feed
 from godwitlanding.gateway.mirror import Mirror
--- a/godwitlanding/tests/gateway/test_mirror.py
+++ b/godwitlanding/tests/gateway/test_mirror.py
@@ -6,7 +6,7 @@
 from result import Err, Ok
 
 from godwitlanding.base.codes import Code, make_refusal
-from godwitlanding.base.stored import (
+from godwitlanding.base.storetypes import (
     Snapshot,
     StoredObject,
     WatchBatch,
@@ -37,8 +37,8 @@
         self._steps = list(steps)
         self.calls = []
 
-    async def snapshot(self, kind, may_be_old=False):
-        return await self._next("old snapshot" if may_be_old else "snapshot", None)
+    async def snapshot(self, kind, allow_stale=False):
+        return await self._next("old snapshot" if allow_stale else "snapshot", None)
 
     async def watch(self, kind, after, timeout_s):
         return await self._next("watch", after)
--- a/godwitlanding/tests/gateway/test_mirror_states.py
+++ b/godwitlanding/tests/gateway/test_mirror_states.py
@@ -12,7 +12,7 @@
 from result import Err, Ok
 
 from godwitlanding.base.codes import Code, make_refusal
-from godwitlanding.base.stored import (
+from godwitlanding.base.storetypes import (
     Snapshot,
     StoredObject,
     WatchBatch,
@@ -86,7 +86,7 @@
         event = WatchEvent(StoredObject(KIND, name, version, value), deleted)
         self._events.append(event)
 
-    async def snapshot(self, kind, may_be_old=False):
+    async def snapshot(self, kind, allow_stale=False):
         await asyncio.sleep(0.01)
         if self.is_away:
             return Err(make_refusal(Code.PLATFORM_UNAVAILABLE))
--- a/godwitlanding/tests/gateway/test_entries.py
+++ b/godwitlanding/tests/gateway/test_platform_objects.py
@@ -6,7 +6,7 @@
 from godwitlanding.base.codes import Code
 from godwitlanding.base.metrics import Counters
 from godwitlanding.decisions.routes import Workspace
-from godwitlanding.platform.entries import read_config, read_upstream, read_vm
+from godwitlanding.platform.objects import read_config, read_upstream, read_vm
 from godwitlanding.platform.store import ObjectStore
 from godwitlanding.tests.gateway.world import make_config
 from godwitlanding.tests.standins.standin_store import StandinStore
--- a/godwitlanding/tests/gateway/test_platform_store.py
+++ b/godwitlanding/tests/gateway/test_platform_store.py
@@ -29,7 +29,7 @@
     await store.close()
 
 
-async def test_object_is_created_changed_and_deleted(store, standin):
+async def test_object_is_created_updated_and_deleted(store, standin):
     version = (await store.put(KIND, "a", b'{"x":1}', 0)).unwrap()
     assert (await store.get(KIND, "a")).unwrap().value == b'{"x":1}'
     newer = (await store.put(KIND, "a", b'{"x":2}', version)).unwrap()
@@ -47,11 +47,11 @@
 
 
 @pytest.mark.parametrize("may_be_old", [False, True])
-async def test_only_a_list_that_may_be_old_says_so(store, standin, may_be_old):
+async def test_only_a_stale_list_sends_stale_ok(store, standin, allow_stale):
     await standin.put(KIND, "a", {})
-    assert (await store.snapshot(KIND, may_be_old)).is_ok()
+    assert (await store.snapshot(KIND, allow_stale)).is_ok()
     query = standin.calls[-1][2]
-    assert query == ({"stale_ok": "1"} if may_be_old else {})
+    assert query == ({"stale_ok": "1"} if allow_stale else {})
 
 
 async def test_watch_returns_with_the_first_change(store, standin):
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize(("faults", "code"), FAULTS)
 @pytest.mark.parametrize("call", ["snapshot", "get", "put", "watch"])
-async def test_failed_call_is_an_error_in_time(
+async def test_failed_call_returns_an_error_within_its_timeout(
     store, standin, faults, code, call, monkeypatch
 ):
     # The store is away in one of the ways in which it can be. A call that
@@ -109,7 +109,7 @@
     assert answer.unwrap_err().code is code
 
 
-async def test_lost_answer_of_a_write_that_was_done(store, standin):
+async def test_write_with_a_lost_response_is_reported_as_failed(store, standin):
     # The write is done and its answer is lost. The writer cannot know; when
     # it writes again it is told of its own object.
     standin.faults.lose_answers = 1
@@ -134,22 +134,20 @@
     assert (answer.unwrap_err().code if answer.is_err() else None) is code
 
 
-async def test_watch_that_is_cut_is_an_error(store, standin):
+async def test_interrupted_watch_is_an_error(store, standin):
     waiting = asyncio.create_task(store.watch(KIND, standin.revision, 5.0))
     await asyncio.sleep(0.05)
     await standin.forget_history()
     assert (await waiting).unwrap_err().code is Code.PLATFORM_UNAVAILABLE
 
 
-async def test_store_that_is_down(store, standin):
+async def test_unreachable_store_is_an_error(store, standin):
     standin.crash()
     answer = await store.snapshot(KIND)
     assert answer.unwrap_err().code is Code.PLATFORM_UNAVAILABLE
 
 
-async def test_versions_grow_when_the_store_comes_back_from_an_older_copy(
-    store, standin
-):
+async def test_versions_grow_when_the_store_is_restored(store, standin):
     await standin.put(KIND, "a", {})
     copy = standin.take_copy()
     await standin.put(KIND, "a", {"x": 1})
@@ -165,7 +163,9 @@
 
 @pytest.mark.parametrize("since", [0, 1, 5])
 @pytest.mark.parametrize("is_known", [True, False])
-async def test_watch_from_a_lost_history_has_expired(store, standin, since, is_known):
+async def test_watch_from_a_version_lost_by_a_restore_has_expired(
+    store, standin, since, is_known
+):
     # The store has the revision again, of another change, or not yet.
     copy = standin.take_copy()
     await standin.put(KIND, "lost", {})
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize("operation", ["put", "delete"])
-async def test_lost_version_is_no_condition_of_a_write(store, standin, operation):
+async def test_write_conditional_on_a_lost_version_conflicts(store, standin, operation):
     # The store has given the revision out again, to another's write.
     copy = standin.take_copy()
     version = (await store.put(KIND, "a", b'{"own":1}', 0)).unwrap()
@@ -195,9 +195,7 @@
     assert standin.get_spec(KIND, "a") == {"foreign": 1}
 
 
-async def test_write_that_the_store_has_lost_since_is_not_taken_for_done(
-    store, standin
-):
+async def test_write_lost_by_a_restore_is_not_reported_as_done(store, standin):
     copy = standin.take_copy()
     standin.faults.delay_answer_s = 0.3
     writing = asyncio.create_task(store.put(KIND, "a", b"{}", 0))
--- a/godwitlanding/tests/gateway/test_savedmap.py
+++ b/godwitlanding/tests/gateway/test_savedmap.py
@@ -7,7 +7,7 @@
 from result import Err, Ok
 
 from godwitlanding.base.codes import Code, make_refusal
-from godwitlanding.base.stored import Snapshot, StoredObject
+from godwitlanding.base.storetypes import Snapshot, StoredObject
 from godwitlanding.decisions.objectmap import CacheEntry, ObjectMap
 from godwitlanding.gateway.registry import Registry, Upstream
 from godwitlanding.gateway.savedmap import (
@@ -32,7 +32,7 @@
         self.lost = False
         self.writes = 0
 
-    async def snapshot(self, kind, may_be_old=False):
+    async def snapshot(self, kind, allow_stale=False):
         if self.code:
             return Err(make_refusal(self.code))
         objects = [
--- a/godwitlanding/tests/load/callers.py
+++ b/godwitlanding/tests/load/callers.py
@@ -12,7 +12,7 @@
 
 import aiohttp
 
-from godwitlanding.base.client import make_session
+from godwitlanding.base.httpclient import make_session
 from godwitlanding.tests.load.tally import Final
 from godwitlanding.tests.standins.bodies import is_whole, make_bundle
 
--- a/godwitlanding/tests/operator/test_edit.py
+++ b/godwitlanding/tests/operator/test_edit.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from godwitlanding.base.fields import read_text
+from godwitlanding.base.schema import read_text
 from godwitlanding.operator.edit import add_item, remove_item, replace_item
 
 DRAIN = {"what": "vm", "name": "a1"}
--- a/godwitlanding/tests/operator/test_survey.py
+++ b/godwitlanding/tests/operator/test_survey.py
@@ -4,7 +4,7 @@
 from result import Err, Ok
 
 from godwitlanding.base.codes import Code, make_refusal
-from godwitlanding.base.stored import StoredObject
+from godwitlanding.base.storetypes import StoredObject
 from godwitlanding.decisions.plan import EMPTY_PLAN, format_plan
 from godwitlanding.operator.inventory import DaemonStatus
 from godwitlanding.operator.survey import (
--- a/godwitlanding/tests/standins/objects.py
+++ b/godwitlanding/tests/standins/objects.py
@@ -10,7 +10,7 @@
 from result import Err, Ok
 
 from godwitlanding.base.codes import Code, make_refusal
-from godwitlanding.base.stored import (
+from godwitlanding.base.storetypes import (
     MAX_VALUE_BYTES,
     StoredObject,
     VmList,
--- a/godwitlanding/tests/standins/standin_platform.py
+++ b/godwitlanding/tests/standins/standin_platform.py
@@ -17,7 +17,7 @@
 from starlette.routing import Route
 
 from godwitlanding.base.codes import ROW_BY_CODE
-from godwitlanding.base.stored import VmEntry, VmList, get_revision
+from godwitlanding.base.storetypes import VmEntry, VmList, get_revision
 from godwitlanding.tests.standins.listener import Listener, reset
 from godwitlanding.tests.standins.objects import EMPTY_VM_LIST, ObjectTable
 
--- a/godwitlanding/tests/standins/test_standin_upstream.py
+++ b/godwitlanding/tests/standins/test_standin_upstream.py
@@ -6,8 +6,8 @@
 import aiohttp
 import pytest
 
-from godwitlanding.base.client import make_session
 from godwitlanding.base.config import Upstream
+from godwitlanding.base.httpclient import make_session
 from godwitlanding.tests.standins.bodies import is_whole, make_bundle
 from godwitlanding.tests.standins.licensed import Executions, LicensedUpstream
 from godwitlanding.tests.standins.listener import Listener, reset
--- a/godwitlanding/tests/support.py
+++ b/godwitlanding/tests/support.py
@@ -6,7 +6,7 @@
 from result import Err, Ok
 
 from godwitlanding.base.codes import Code, make_refusal
-from godwitlanding.base.stored import VmEntry, VmList
+from godwitlanding.base.storetypes import VmEntry, VmList
 from godwitlanding.tests.standins.objects import EMPTY_VM_LIST, ObjectTable
 
 STATE_LIVE = "live"
@@ -54,7 +54,7 @@
         self.before_call = None
         self.calls = Counter()
         self.waiting_watches = 0
-        self.most_waiting = 0
+        self.max_waiting_watches = 0
         self.available = True
         self._vm_list = EMPTY_VM_LIST
         self._tasks = set()
@@ -113,7 +113,7 @@
         if failure:
             return failure
         self.waiting_watches += 1
-        self.most_waiting = max(self.most_waiting, self.waiting_watches)
+        self.max_waiting_watches = max(self.max_waiting_watches, self.waiting_watches)
         try:
             return await self.objects.wait_for_events(
                 kind, after, timeout_s, lambda: self.available
--- a/godwitlanding/tests/test_docs.py
+++ b/godwitlanding/tests/test_docs.py
@@ -7,8 +7,8 @@
 import pytest
 
 from godwitlanding.base.codes import ROW_BY_CODE
-from godwitlanding.base.configtable import CONFIG
-from godwitlanding.base.fields import REQUIRED
+from godwitlanding.base.configschema import CONFIG
+from godwitlanding.base.schema import REQUIRED
 from godwitlanding.base.settings import SETTINGS
 from godwitlanding.ctl import parse_arguments
 
@@ -59,26 +59,26 @@
             assert f"unit {field.unit}" in entries[path], path
 
 
-def test_codes_page_holds_the_table():
+def test_codes_page_matches_the_table():
     text = (DOCS / "codes.rst").read_text()
     rows = re.findall(r"^(\d{4}) +(\w+) +(\d{3}) +(\w+) +(.+)$", text, re.M)
-    wanted = [
+    expected = [
         (str(code.value), code.name, str(row.http_status), row.run, row.title)
         for code, row in ROW_BY_CODE.items()
     ]
-    assert rows == wanted
+    assert rows == expected
 
 
-def test_modules_page_tells_each_module_in_its_own_words():
-    told = _read_entries("modules.rst")
+def test_modules_page_matches_the_docstrings():
+    documented = _read_entries("modules.rst")
     package = ROOT / "godwitlanding"
-    wanted = {}
+    expected = {}
     for path in package.rglob("*.py"):
         parts = path.relative_to(package).with_suffix("").parts
         if path.stem != "__init__" and parts[0] != "tests":
             docstring = ast.get_docstring(ast.parse(path.read_text()))
-            wanted[".".join(parts)] = " ".join(docstring.split("\n\n")[0].split())
-    assert told == wanted
+            expected[".".join(parts)] = " ".join(docstring.split("\n\n")[0].split())
+    assert documented == expected
 
 
 def _find_commands():
@@ -88,12 +88,12 @@
 
 
 @pytest.mark.parametrize(("page", "line"), list(_find_commands()))
-def test_commands_on_the_pages_are_understood(page, line):
+def test_documented_commands_are_parsed(page, line):
     words = re.findall(r'"[^"]*"|\S+', line.split("  #")[0])
     parse_arguments([word.strip('"') for word in words[1:]])
 
 
-def test_every_locked_library_that_we_ask_for_has_a_reason():
+def test_every_required_library_has_a_documented_reason():
     text = (DOCS / "dependencies.rst").read_text()
     asked = (ROOT / "requirements.in").read_text().split()
     for name in (word for word in asked if re.fullmatch(r"[a-z][a-z0-9-]+", word)):
--- a/godwitlanding/tests/test_layers.py
+++ b/godwitlanding/tests/test_layers.py
@@ -16,7 +16,7 @@
     "operator": {"base", "decisions"},
     "platform": {"base", "decisions", "gateway"},
 }
-TOP_FLOOR = {"__init__", "ctl", "entry", "program", "steer", "vm", "zone"}
+TOP_LEVEL_MODULES = {"__init__", "ctl", "entry", "program", "steer", "vm", "zone"}
 
 
 def _find_imports(path):
@@ -34,14 +34,14 @@
 
 
 @pytest.mark.parametrize("folder", ALLOWED_BY_FOLDER)
-def test_folder_imports_nothing_from_above(folder):
+def test_folder_imports_only_allowed_folders(folder):
     allowed = ALLOWED_BY_FOLDER[folder] | {folder, "__version__"}
     for path in (PACKAGE / folder).rglob("*.py"):
-        above = set(_find_imports(path)) - allowed
-        assert not above, f"{path.relative_to(PACKAGE)} imports {above}"
+        disallowed = set(_find_imports(path)) - allowed
+        assert not disallowed, f"{path.relative_to(PACKAGE)} imports {disallowed}"
 
 
-def test_top_floor_holds_the_programs_only():
-    assert {path.stem for path in PACKAGE.glob("*.py")} == TOP_FLOOR
+def test_top_level_holds_only_programs():
+    assert {path.stem for path in PACKAGE.glob("*.py")} == TOP_LEVEL_MODULES
     folders = {path.parent.name for path in PACKAGE.glob("*/__init__.py")}
     assert folders - {"tests"} == set(ALLOWED_BY_FOLDER)
--- a/godwitlanding/tests/test_pages.py
+++ b/godwitlanding/tests/test_pages.py
@@ -11,7 +11,7 @@
 
 PAGES = ("operations.rst", "quickstart.rst")
 SAMPLE = "samples/demo.json5"
-WRITING = ("apply", "drain", "shift", "rollback")
+MODIFYING_COMMANDS = ("apply", "drain", "shift", "rollback")
 
 
 def read_commands():
@@ -24,14 +24,14 @@
                 yield page, shlex.split(line)
 
 
-async def carry_request(cluster):
+async def send_request(cluster):
     """Send a look-up; return its request id."""
     url = cluster.get_url("north-a-1", "entry") + "/s/status/x"
     async with aiohttp.ClientSession() as session, session.get(url) as answer:
         return answer.headers["Godwit-Request-Id"]
 
 
-async def test_commands_of_the_pages_work(tmp_path):
+async def test_documented_commands_succeed(tmp_path):
     """An operator types the commands of a page, one after another."""
     cluster = Cluster(
         (ROOT / SAMPLE).read_text(),
@@ -43,7 +43,7 @@
     changed.write_text(cluster.text + "\n// three more upstreams\n")
     try:
         await cluster.start()
-        request_id = await carry_request(cluster)
+        request_id = await send_request(cluster)
         _, output = await cluster.run_ctl("get", "--json")
         first = re.search(r'"version": (\d+)', output).group(1)
         for page, words in read_commands():
@@ -54,7 +54,7 @@
                 words[1] = first
             if words[0] == "explain":
                 words[1] = request_id
-            if words[0] in WRITING and "--yes" not in words:
+            if words[0] in MODIFYING_COMMANDS and "--yes" not in words:
                 words.append("--yes")
             code, output = await cluster.run_ctl(*words, may_fail=True)
             assert code == 0, (page, words, output)
--- a/godwitlanding/tests/test_play.py
+++ b/godwitlanding/tests/test_play.py
@@ -9,7 +9,7 @@
 SAMPLE = Path(__file__).parent / "data/small.json5"
 
 
-async def test_play_starts_and_tells_the_addresses(capsys):
+async def test_play_starts_and_prints_the_addresses(capsys):
     end = asyncio.Event()
     end.set()
     await play(SAMPLE, claim_test_network(), end)
--- a/godwitlanding/tests/test_vm.py
+++ b/godwitlanding/tests/test_vm.py
@@ -16,7 +16,7 @@
     signal.signal(signal.SIGHUP, held)
 
 
-def test_hangup_while_a_vm_starts_does_not_end_it(former_handler, tmp_path, capsys):
+def test_sighup_during_startup_is_ignored(former_handler, tmp_path, capsys):
     # The settings file changes while a VM is starting, and the platform says
     # so by SIGHUP. By default that ends a process; the VM would be missing
     # until somebody starts it again.
@@ -26,7 +26,7 @@
     assert "No such file" in capsys.readouterr().err
 
 
-def test_what_is_slow_to_import_comes_after_that():
+def test_slow_imports_are_deferred():
     code = "import sys, godwitlanding.vm; print(*sys.modules)"
     loaded = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
