--- a/godwitlanding/base/__init__.py
+++ b/godwitlanding/base/__init__.py
@@ -1,1 +1,1 @@
-"""What every program stands on: kernel, logs, metrics, messages, settings."""
+"""Shared by all programs: kernel, logs, metrics, messages and settings."""
--- a/godwitlanding/base/codes.py
+++ b/godwitlanding/base/codes.py
@@ -1,7 +1,7 @@
-"""Numbered result codes that callers, operators and logs see.
+"""Numbered result codes shown to callers and operators and written to logs.
 
-Each code says whether the request may have run. ``docs/codes.rst`` shows
-the same table, and a test holds the two together.
+Each code states whether the request may have been executed.
+``docs/codes.rst`` contains the same table; a test compares the two.
 """
 
 from enum import IntEnum
@@ -9,7 +9,7 @@
 
 
 class Run(str):
-    """Whether the upstream ran the request: ``no``, ``yes`` or ``unknown``."""
+    """Whether an upstream executed the request: no, yes or unknown."""
 
 
 RUN_NO = Run("no")
@@ -18,7 +18,7 @@
 
 
 class Code(IntEnum):
-    """A result code; the thousands digit names its family."""
+    """A result code; the thousands digit identifies its category."""
 
     UNKNOWN_SERVICE = 1001
     MALFORMED_REQUEST = 1002
@@ -85,7 +85,7 @@
 
 
 class CodeRow(NamedTuple):
-    """What one code means to the person who meets it."""
+    """HTTP status, execution status and description of a result code."""
 
     http_status: int
     run: Run
@@ -201,10 +201,10 @@
 
 
 class Refusal(NamedTuple):
-    """An answer that gives up on a request.
+    """The error result of a request or call.
 
-    ``run`` defaults to what the code says; ``retry_after_s`` is 0 where
-    coming back does not help.
+    ``run`` states whether the request was executed. ``retry_after_s`` is 0
+    if a retry does not help.
     """
 
     code: Code
@@ -214,5 +214,5 @@
 
 
 def make_refusal(code, retry_after_s=0.0, detail="", run=None):
-    """Return the refusal for ``code`` with its own word on ``run``."""
+    """Return a refusal; ``run`` defaults to the value of the code's row."""
     return Refusal(code, retry_after_s, run or ROW_BY_CODE[code].run, detail)
--- a/godwitlanding/base/config.py
+++ b/godwitlanding/base/config.py
@@ -1,8 +1,8 @@
-"""The operators' configuration text and its typed form.
+"""Parses and validates the operators' configuration text.
 
 The text is JSON with comments and describes regions, services with their
-upstreams and dependencies, limits of links, shifts with their caps, and
-drains. ``docs/configuration.rst`` describes every key.
+upstreams and dependencies, link limits, traffic shifts with their caps,
+and drains. ``docs/configuration.rst`` describes every key.
 
 >>> parse_config(text).unwrap().service_by_name["status"].deadline_s
 2.0
@@ -24,13 +24,13 @@
 CONFIG_KIND = "config"
 CONFIG_NAME = "main"
 
-# Smaller is served first: lost payments, orders and bookings hurt most,
-# and a caller does not wait by the telephone for a bulk download.
+# Smaller is served first: a lost payment, order or booking does the most
+# damage, and nobody waits for a bulk download interactively.
 PRIORITY_BY_KIND = {KIND_TRANSACTION: 0, KIND_LOOKUP: 1, KIND_BULK: 2}
 
 
 class Upstream(NamedTuple):
-    """A licensed back end; ``address`` is ``ip:port``."""
+    """An upstream server with licensed slots; ``address`` is ``ip:port``."""
 
     id: str
     address: str
@@ -40,7 +40,7 @@
 
 
 class ServiceConfig(NamedTuple):
-    """A service as the operators describe it; times in seconds."""
+    """Configuration of a service; times are in seconds."""
 
     name: str
     kind: str
@@ -52,11 +52,11 @@
 
     @property
     def priority(self):
-        """Return the priority; smaller is served first."""
+        """Return the queue priority; smaller is served first."""
         return PRIORITY_BY_KIND[self.kind]
 
     def get_upstreams(self, availability_zone):
-        """Return the service's upstreams in a zone, in the text's order."""
+        """Return the upstreams of a zone in the order of the text."""
         return tuple(
             upstream
             for upstream in self.upstream_by_id.values()
@@ -65,7 +65,7 @@
 
 
 class Region(NamedTuple):
-    """A region; ``load_limit`` is a share of its slots."""
+    """A region; ``load_limit`` is the plannable share of its slots."""
 
     name: str
     availability_zones: tuple[str, ...]
@@ -73,14 +73,14 @@
 
 
 class Link(NamedTuple):
-    """Limits between two zones; 0 bytes a second is no limit."""
+    """Rate limits from one zone to another; 0 bytes/s means unlimited."""
 
     requests_per_s: float
     bytes_per_s: float
 
 
 class Shift(NamedTuple):
-    """A wish to move a share of a zone's callers to another zone."""
+    """A request to move a share of a zone's callers to another zone."""
 
     name: str
     service: str
@@ -93,7 +93,10 @@
 
 
 class Drain(NamedTuple):
-    """Something that gets no new work; ``service`` narrows a zone's."""
+    """An upstream, VM or zone that receives no new requests.
+
+    A ``service`` restricts the drain of a zone to that service.
+    """
 
     what: str
     name: str
@@ -101,7 +104,7 @@
 
 
 class Configuration(NamedTuple):
-    """The checked configuration."""
+    """A validated configuration."""
 
     name: str
     region_by_name: dict[str, Region]
@@ -112,13 +115,13 @@
     drains: frozenset[Drain]
 
     def is_drained(self, what, name, service=""):
-        """Tell whether the text drains it, for ``service`` or for all."""
+        """Return whether it is drained, for ``service`` or for all."""
         for_all = Drain(what, name, "") in self.drains
         return for_all or Drain(what, name, service) in self.drains
 
 
 def parse_config(text):
-    """Return ``Ok(configuration)`` or ``Err`` with every problem."""
+    """Return ``Ok(Configuration)`` or ``Err`` with a list of all problems."""
     parsed = read_text(text)
     if parsed.is_err():
         return parsed
--- a/godwitlanding/base/configschema.py
+++ b/godwitlanding/base/configschema.py
@@ -1,7 +1,7 @@
-"""The keys of the operators' text: type, default, unit, range, meaning.
+"""Schema of the operators' configuration text.
 
-``docs/configuration.rst`` shows the same table, and a test holds the two
-together.
+Defines the type, default, unit, range and meaning of each key.
+``docs/configuration.rst`` contains the same table; a test compares the two.
 """
 
 from godwitlanding.base.schema import Field
--- a/godwitlanding/base/headers.py
+++ b/godwitlanding/base/headers.py
@@ -1,4 +1,7 @@
-"""Which HTTP headers travel on, and which belong to one connection only."""
+"""HTTP header names, and the selection of the headers to forward.
+
+Hop-by-hop headers belong to a single connection and are not forwarded.
+"""
 
 HOP_BY_HOP = frozenset(
     (
@@ -38,7 +41,7 @@
 
 
 def _get_connection_tokens(headers):
-    """Return the names that a ``Connection`` header makes hop-by-hop."""
+    """Return the header names that ``Connection`` marks as hop-by-hop."""
     for name, value in headers:
         if name == "connection":
             return {token.strip().lower() for token in value.split(",")}
@@ -46,9 +49,9 @@
 
 
 def select_request_headers(headers):
-    """Return the pairs of a caller's request that go to the upstream.
+    """Return the request headers to forward to the upstream.
 
-    Names are lower case, as ASGI gives them.
+    ``headers`` are pairs with lower-case names, as ASGI provides them.
     """
     connection_tokens = _get_connection_tokens(headers)
     return [
@@ -62,10 +65,10 @@
 
 
 def select_response_headers(headers):
-    """Return the pairs of an upstream's answer that go to the caller.
+    """Return the response headers to forward to the caller.
 
-    Our own headers are dropped, so that no upstream can pose as one of
-    our processes.
+    Internal headers are dropped so that an upstream cannot impersonate a
+    process of this system.
     """
     pairs = [(name.lower(), value) for name, value in headers]
     connection_tokens = _get_connection_tokens(pairs)
--- a/godwitlanding/base/kernel.py
+++ b/godwitlanding/base/kernel.py
@@ -1,8 +1,8 @@
-"""The micro-kernel: starts and stops named services in dependency order.
+"""Microkernel: starts and stops named services in dependency order.
 
-A service is any object with a ``name``, a tuple ``needs`` of the names it
-uses, and coroutines ``start(kernel)`` and ``stop()``. Services find each
-other by name and know nothing of each other's modules.
+A service is any object with a ``name``, a tuple ``needs`` of the names of
+its dependencies, and coroutines ``start(kernel)`` and ``stop()``. Services
+look each other up by name and do not import each other's modules.
 
 >>> kernel = Kernel([Config(), Server()])
 >>> await kernel.start()
@@ -19,28 +19,28 @@
 
 
 class KernelError(Exception):
-    """A service is missing, doubled or in a dependency cycle."""
+    """A service is missing, duplicated or part of a dependency cycle."""
 
 
 class Service:
-    """Base of a named service; the defaults do nothing."""
+    """Base class of services; the default methods do nothing."""
 
     name = ""
     needs = ()
 
     async def start(self, kernel):
-        """Begin to serve; the services in ``needs`` have started."""
+        """Start the service; the services in ``needs`` are running."""
 
     async def stop(self):
-        """End gracefully; the services in ``needs`` still run."""
+        """Stop gracefully; the services in ``needs`` are still running."""
 
     def get_status(self):
-        """Return what ``godwitctl status`` shows, as plain JSON values."""
+        """Return the status for ``godwitctl status`` as JSON values."""
         return {}
 
 
 class Kernel:
-    """Holds the services of one process."""
+    """Registry and life cycle of the services of one process."""
 
     def __init__(self, services):
         self._service_by_name = {}
@@ -52,14 +52,14 @@
         self.stopping = asyncio.Event()
 
     def get(self, name):
-        """Return the service called ``name``; ``KernelError`` if none is."""
+        """Return the service ``name``; raise ``KernelError`` if unknown."""
         try:
             return self._service_by_name[name]
         except KeyError:
             raise KernelError(f"no service is named {name!r}") from None
 
     def get_names(self):
-        """Return the names in the order in which they start."""
+        """Return the service names in start order."""
         graph = {}
         for name, service in self._service_by_name.items():
             for need in service.needs:
@@ -68,14 +68,16 @@
         try:
             return list(TopologicalSorter(graph).static_order())
         except CycleError as error:
-            raise KernelError(f"services need each other: {error.args[1]}") from None
+            raise KernelError(
+                f"circular dependency of services: {error.args[1]}"
+            ) from None
 
     def get_status(self):
-        """Return every service's status by its name."""
+        """Return the status of each service by name."""
         return {name: self.get(name).get_status() for name in self.get_names()}
 
     async def start(self):
-        """Start every service after those it needs; undo all on an error."""
+        """Start all services in order; stop the started ones on an error."""
         for name in self.get_names():
             try:
                 await self.get(name).start(self)
@@ -85,7 +87,7 @@
             self._started.append(name)
 
     async def stop(self):
-        """Stop in the reverse order; one that fails does not keep the rest."""
+        """Stop all services in reverse order, even if one fails to stop."""
         self.stopping.set()
         while self._started:
             name = self._started.pop()
@@ -95,19 +97,19 @@
                 log_message("kernel:stop_failed", service=name, error=repr(error))
 
     async def run(self, reload=None):
-        """Start, serve until SIGTERM or SIGINT, then stop gracefully.
+        """Start, run until SIGTERM or SIGINT, then stop gracefully.
 
-        SIGHUP calls ``reload``; without one the signal is ignored, since by
-        default it would end the process with its requests unanswered.
+        SIGHUP calls ``reload``. Without ``reload`` it is ignored, because
+        its default action would kill the process with requests in progress.
         """
-        asked = asyncio.Event()
+        stop_requested = asyncio.Event()
         loop = asyncio.get_running_loop()
         for number in STOP_SIGNALS:
-            loop.add_signal_handler(number, asked.set)
+            loop.add_signal_handler(number, stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, reload or _ignore_hangup)
         await self.start()
         log_message("kernel:started", services=self.get_names())
-        await asked.wait()
+        await stop_requested.wait()
         log_message("kernel:stopping")
         await self.stop()
         log_message("kernel:stopped")
--- a/godwitlanding/base/log.py
+++ b/godwitlanding/base/log.py
@@ -1,4 +1,4 @@
-"""JSON-line logs by eliot, on standard error."""
+"""Writes eliot log messages to standard error as JSON lines."""
 
 import json
 import sys
@@ -9,10 +9,10 @@
 
 
 def set_up_logs(vm, role, level="info"):
-    """Write each log message as a line that names its vm and role.
+    """Write each log message as a JSON line with the vm and role.
 
-    A message's ``level`` field defaults to ``info``; messages below
-    ``level`` are dropped.
+    The ``level`` field of a message defaults to ``info``; messages less
+    severe than ``level`` are dropped.
     """
     highest = LEVELS.index(level)
 
@@ -26,10 +26,10 @@
 
 
 def log_error(message_type, **fields):
-    """Log a message that an operator should look at."""
+    """Log a message at level ``error``: an operator should look at it."""
     log_message(message_type, level="error", **fields)
 
 
 def log_warning(message_type, **fields):
-    """Log a message that may need an operator."""
+    """Log a message at level ``warning``: it may need an operator."""
     log_message(message_type, level="warning", **fields)
--- a/godwitlanding/base/logstream.py
+++ b/godwitlanding/base/logstream.py
@@ -1,12 +1,12 @@
-"""JSON lines on standard output that never hold up the loop.
+"""Writes log messages to standard output without blocking the event loop.
 
-Load pattern: overload, when each request is refused and logged, and a
-reader of the log that is slow or stuck. A write to a full pipe would block
-the one thread, and every caller with it. So lines are kept in memory up to
-``MAX_PENDING_BYTES`` and written only as far as the reader takes them; and
-no more than ``MAX_LINES_PER_S`` are taken each second, the last fifth of
-which only for warnings and errors. What is dropped is counted, and a line
-says how many once there is room again.
+Under overload every refused request is logged, and the reader of the log
+may be slow or stuck. A write to a full pipe would block the only thread and
+with it all callers. Lines are therefore buffered in memory up to
+``MAX_PENDING_BYTES`` and written without blocking. At most
+``MAX_LINES_PER_S`` lines are accepted each second; the last fifth of them is
+reserved for warnings and errors. Dropped lines are counted, and a
+``log:dropped`` line reports their number when there is room again.
 """
 
 import os
@@ -15,16 +15,16 @@
 import orjson
 from eliot import add_destinations
 
-# A busy VM writes half of this.
+# Twice the rate of a busy VM.
 MAX_LINES_PER_S = 500
 RESERVED_FOR_WARNINGS = 100
 MAX_PENDING_BYTES = 256 * 1024
-# A message longer than this is cut by the reader anyway.
+# The reader of the log truncates longer lines.
 MAX_LINE_BYTES = 4096
 
 
 class LogStream:
-    """A bounded, non-blocking destination of eliot's messages."""
+    """A non-blocking eliot destination with a bounded buffer."""
 
     def __init__(self, vm, role, now, descriptor=None, counters=None):
         self._vm = vm
@@ -39,7 +39,7 @@
         os.set_blocking(self._descriptor, False)
 
     def write_message(self, message):
-        """Write a message, or keep it until the reader takes more."""
+        """Write a message, buffer it, or drop it if there is no room."""
         level = message.get("level", "info")
         if not self._has_room(level):
             self._dropped += 1
@@ -53,14 +53,14 @@
         self.flush()
 
     def flush(self):
-        """Write what the reader takes; return whether all is written."""
+        """Write as much as the pipe accepts; return whether all is written."""
         while self._pending:
             try:
                 written = os.write(self._descriptor, self._pending)
             except BlockingIOError:
                 return False
             except OSError:
-                # Nobody reads any more, and there is nowhere to say so.
+                # The reader has closed the pipe, and there is no other log.
                 self._pending.clear()
                 return True
             del self._pending[:written]
@@ -88,7 +88,7 @@
 
 
 def set_up_log_stream(vm, role, now, counters=None):
-    """Send every log message to standard output; return the stream."""
+    """Write all log messages to standard output; return the stream."""
     stream = LogStream(vm, role, now, counters=counters)
     add_destinations(stream.write_message)
     return stream
--- a/godwitlanding/base/messages.capnp
+++ b/godwitlanding/base/messages.capnp
@@ -1,7 +1,7 @@
 @0xd1f0a6c35b7e2c41;
 
-# One frame between two of our processes. An id of 0 wants no answer; an
-# answer carries the id of its question with `answer` set.
+# One frame between two processes of the system. A message with id 0 expects
+# no response; a response has the id of its request and `answer` set.
 struct Message {
   id @0 :UInt64;
   answer @1 :Bool;
@@ -47,12 +47,12 @@
 
 struct Ack {}
 
-# Asks for a push of every versioned object of the kinds, now and on change.
+# Requests a push of every versioned object of the kinds, now and on change.
 struct Subscribe {
   kinds @0 :List(Text);
 }
 
-# A versioned object: the receiver keeps the highest version of (kind, name).
+# A versioned object; the receiver keeps the highest version of (kind, name).
 struct State {
   kind @0 :Text;
   name @1 :Text;
@@ -130,8 +130,8 @@
   requestId @1 :Text;
 }
 
-# A new arbiter asks a holder which permits it has open on these upstreams,
-# and from then on the holder takes grants on them from this arbiter only.
+# A new arbiter asks a holder for its open permits on these upstreams. From
+# then on the holder accepts grants on them from this arbiter only.
 struct Holdings {
   arbiter @0 :Text;
   service @1 :Text;
@@ -162,8 +162,8 @@
   number @4 :UInt64;
 }
 
-# For each upstream the arbiter that had it on loan last, "none" where no
-# permit can be open, empty where the owner does not know.
+# The former arbiter of an upstream is the one that borrowed it last, "none"
+# if no permit can be open, or empty if the owner does not know it.
 struct Lent {
   upstreams @0 :List(Text);
   validS @1 :Float64;
@@ -183,27 +183,27 @@
   crashes @2 :UInt32;
 }
 
-# An entry's word on an upstream: draining, shed, ready.
+# State of an upstream as reported by an entry process: draining, shed, ready.
 struct Signal {
   upstream @0 :Text;
   state @1 :Text;
 }
 
-# Asks for every change of the kinds from now on, and for what changed since.
+# Requests all changes of the kinds since the given positions, and future ones.
 struct Follow {
   positions @0 :List(Position);
 }
 
-# Every change of a kind up to a revision of the store is known.
+# The sender has all changes of a kind up to this revision of the store.
 struct Position {
   kind @0 :Text;
   revision @1 :UInt64;
-  # How many objects are held.
+  # Number of objects held.
   objects @2 :UInt32;
 }
 
-# What changed of a kind. A whole update may come in parts, of which the
-# last one says so; what none of them holds is gone.
+# Changes of the objects of a kind. A whole update may be split into parts, the
+# final one of which has `last` set; objects in none of the parts are deleted.
 struct Update {
   kind @0 :Text;
   revision @1 :UInt64;
@@ -221,7 +221,7 @@
   value @2 :Data;
 }
 
-# A sign of life; whether the sender reads the store itself.
+# A keep-alive message; `reads` is set if the sender reads the store itself.
 struct Sign {
   reads @0 :Bool;
 }
--- a/godwitlanding/base/messages.py
+++ b/godwitlanding/base/messages.py
@@ -1,7 +1,7 @@
-"""Typed messages between our processes, and their Cap'n Proto form.
+"""Message types between processes, and their Cap'n Proto encoding.
 
-Each class mirrors the struct of the same name in ``messages.capnp``, which
-is loaded at run time, so the build needs no generator.
+Each class mirrors the struct of the same name in ``messages.capnp``. The
+schema is loaded at run time, so no code is generated at build time.
 
 >>> frame = encode(Envelope(7, False, Fetch("config", "main")))
 >>> decode(frame).message.kind
@@ -30,18 +30,18 @@
 
 
 class Failure(NamedTuple):
-    """An answer that says why there is no other; ``code`` is numbered."""
+    """An error response; ``code`` is a numbered result code."""
 
     code: int
     detail: str = ""
 
 
 class Ack(NamedTuple):
-    """An answer that carries nothing."""
+    """An empty response."""
 
 
 class Subscribe(NamedTuple):
-    """Asks for pushes of every versioned object of the kinds."""
+    """Requests a push of every versioned object of the kinds."""
 
     kinds: tuple[str, ...]
 
@@ -56,14 +56,14 @@
 
 
 class Fetch(NamedTuple):
-    """Asks for one versioned object."""
+    """Requests one versioned object."""
 
     kind: str
     name: str
 
 
 class VersionOf(NamedTuple):
-    """Which version of an object a member holds."""
+    """The version of an object that a member holds."""
 
     kind: str
     name: str
@@ -71,7 +71,7 @@
 
 
 class Heartbeat(NamedTuple):
-    """A member's sign of life within its availability zone."""
+    """Heartbeat of a member of an availability zone."""
 
     vm: str
     incarnation: str
@@ -83,7 +83,10 @@
 
 
 class Acquire(NamedTuple):
-    """Asks an arbiter for a permit; times are seconds that remain."""
+    """Requests a permit from an arbiter.
+
+    ``remaining_s`` is the time left until the deadline of the request.
+    """
 
     service: str
     request_id: str
@@ -98,7 +101,10 @@
 
 
 class Granted(NamedTuple):
-    """A permit for one slot; the holder counts ``valid_s`` from its ask."""
+    """A permit for one slot.
+
+    ``valid_s`` counts from the time at which the holder sent its request.
+    """
 
     permit_id: int
     upstream: str
@@ -109,7 +115,7 @@
 
 
 class PassOn(NamedTuple):
-    """Leave to hand the request to an entry VM of another zone."""
+    """Permission to forward the request to an entry VM of another zone."""
 
     availability_zone: str
     valid_s: float
@@ -117,7 +123,7 @@
 
 
 class Refused(NamedTuple):
-    """The arbiter's final word that the request gets no permit here."""
+    """The arbiter's final refusal of a permit."""
 
     code: int
     retry_after_s: float
@@ -126,7 +132,7 @@
 
 
 class Release(NamedTuple):
-    """Gives a permit back; ``outcome`` is one of ``OUTCOMES``."""
+    """Returns a permit; ``outcome`` is one of ``OUTCOMES``."""
 
     permit_id: int
     upstream: str
@@ -137,14 +143,18 @@
 
 
 class Withdraw(NamedTuple):
-    """The caller has gone: forget its request in the queue."""
+    """Removes a request from the queue after its caller has disconnected."""
 
     service: str
     request_id: str
 
 
 class Holdings(NamedTuple):
-    """A new arbiter asks a holder for its open permits on upstreams."""
+    """A new arbiter's request for a holder's open permits on upstreams.
+
+    From then on the holder accepts grants on these upstreams from this
+    arbiter only.
+    """
 
     arbiter: str
     service: str
@@ -152,7 +162,7 @@
 
 
 class HeldPermit(NamedTuple):
-    """An open permit as its holder knows it."""
+    """An open permit as recorded by its holder."""
 
     permit_id: int
     upstream: str
@@ -160,7 +170,7 @@
 
 
 class Held(NamedTuple):
-    """Answer to ``Holdings``."""
+    """Response to ``Holdings``."""
 
     permits: tuple[HeldPermit, ...] = ()
 
@@ -173,11 +183,12 @@
 
 
 class Loan(NamedTuple):
-    """An arbiter asks an owner to lend it its upstreams of a service.
+    """An arbiter's request to borrow an owner's upstreams of a service.
 
-    ``holders`` may be granted permits once the owner has answered;
+    ``holders`` may be granted permits once the owner has responded;
     ``holding`` are the owner's upstreams that the arbiter still uses.
-    ``number`` grows, so that a question which arrives late is told apart.
+    ``number`` increases with each request, so that a delayed one is
+    detected.
     """
 
     arbiter: str
@@ -188,11 +199,12 @@
 
 
 class Lent(NamedTuple):
-    """The upstreams lent; the borrower counts from when it asked.
+    """The upstreams lent to an arbiter, in response to ``Loan``.
 
+    ``valid_s`` counts from the time at which the borrower sent its request.
     ``former_arbiters`` has, for each upstream, the incarnation that
-    borrowed it last, ``FORMER_NONE`` where no permit can be open, or
-    nothing where the owner does not know. ``holders`` may have permits of
+    borrowed it last, ``FORMER_NONE`` if no permit can be open, or an empty
+    string if the owner does not know it. ``holders`` may have permits from
     former arbiters.
     """
 
@@ -203,7 +215,7 @@
 
 
 class GiveBack(NamedTuple):
-    """The borrower is no longer the arbiter of the service."""
+    """Ends a loan: the borrower is no longer the arbiter of the service."""
 
     arbiter: str
     service: str
@@ -211,7 +223,7 @@
 
 
 class Poison(NamedTuple):
-    """A request fingerprint that crashed an upstream."""
+    """The fingerprint of a request that crashed an upstream."""
 
     fingerprint: int
     upstream: str
@@ -219,29 +231,29 @@
 
 
 class Signal(NamedTuple):
-    """What an entry process heard from an upstream about its state."""
+    """State of an upstream as reported to an entry process."""
 
     upstream: str
     state: str
 
 
 class Position(NamedTuple):
-    """Up to which revision of the store every change of a kind is known."""
+    """The sender has all changes of a kind up to ``revision`` of the store."""
 
     kind: str
     revision: int
-    # How many objects are held.
+    # Number of objects held.
     objects: int
 
 
 class Follow(NamedTuple):
-    """Asks for every change from now on, and for what changed since."""
+    """Requests all changes since the given positions, and future ones."""
 
     positions: tuple[Position, ...]
 
 
 class HeldObject(NamedTuple):
-    """An object of the store as one VM tells it to another."""
+    """An object of the store as sent from one VM to another."""
 
     name: str
     version: int
@@ -249,10 +261,10 @@
 
 
 class Update(NamedTuple):
-    """What changed of a kind.
+    """Changes of the objects of a kind.
 
-    A ``whole`` update may come in parts, of which the ``last`` one says so;
-    what none of them holds is gone.
+    A ``whole`` update may be split into parts, the final one of which has
+    ``last`` set; objects in none of the parts are deleted.
     """
 
     kind: str
@@ -266,7 +278,7 @@
 
 
 class Sign(NamedTuple):
-    """A sign of life; whether the sender reads the store itself."""
+    """A keep-alive; ``reads`` is set if the sender reads the store itself."""
 
     reads: bool
 
@@ -320,7 +332,7 @@
 
 
 class Envelope(NamedTuple):
-    """A message with the id that matches an answer to its question."""
+    """A message with an id that matches a response to its request."""
 
     id: int
     answer: bool
@@ -354,10 +366,10 @@
 
 
 def _fill(builder, message):
-    """Set the fields one by one; from a dict it takes eight times as long.
+    """Set the fields of a Cap'n Proto builder one by one.
 
-    A field of value zero is left out: that is what the schema's default
-    reads as.
+    Building from a dict takes eight times as long. Zero and empty values are
+    skipped because they equal the schema's defaults.
     """
     for name, schema_name, is_list, nested in _FIELDS_BY_CLASS[type(message)]:
         value = getattr(message, name)
@@ -383,7 +395,7 @@
 
 
 def encode(envelope):
-    """Return the bytes of an envelope, without the length prefix."""
+    """Return the encoded envelope without the length prefix."""
     built = _SCHEMA.Message.new_message()
     built.id = envelope.id
     built.answer = envelope.answer
@@ -393,11 +405,12 @@
 
 
 def decode(data):
-    """Return the envelope in ``data``; ``ValueError`` where it is garbage.
+    """Decode an envelope; raise ``ValueError`` if ``data`` is invalid.
 
-    The schema library raises its own exceptions on a truncated or hostile
-    frame; they become one error, so that a connection handler can count
-    the frame and close instead of ending the process.
+    The schema library raises exceptions of its own on a truncated or
+    malicious frame. They are converted into one type, so that a connection
+    handler can count the frame and close the connection instead of ending
+    the process.
     """
     try:
         with _SCHEMA.Message.from_bytes(data) as reader:
--- a/godwitlanding/base/metrics.py
+++ b/godwitlanding/base/metrics.py
@@ -1,8 +1,8 @@
-"""Counters, gauges and histograms by OpenTelemetry, read as Prometheus text.
+"""OpenTelemetry counters, gauges and histograms, exported to Prometheus.
 
-Every refusal and every retry is counted with its reason, so that an
-operator sees from the counters alone why callers were turned away. The
-names are listed in ``docs/metrics.rst``.
+Every refusal and retry is counted with its reason, so that operators can
+see from the counters alone why requests were refused. The metrics are
+listed in ``docs/metrics.rst``.
 """
 
 from opentelemetry.exporter.prometheus import PrometheusMetricReader
@@ -11,12 +11,12 @@
 from opentelemetry.sdk.resources import Resource
 from prometheus_client import REGISTRY, generate_latest
 
-# Upper bounds in seconds: one slot's work today lies between 5 ms and 30 s.
+# Upper bounds in seconds: a request occupies a slot for 5 ms to 30 s.
 LATENCY_BOUNDS_S = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 30)
 
 
 class Counters:
-    """The process's metrics, made on first use and found by name.
+    """The metrics of the process, created on first use and kept by name.
 
     >>> counters = Counters(make_meter("maz-a1", "entry"))
     >>> counters.add("requests_refused", code="QUEUE_FULL")
@@ -30,7 +30,7 @@
         self._value_by_key = {}
 
     def add(self, name, amount=1, **labels):
-        """Add to a counter; ``labels`` tell the reason."""
+        """Add ``amount`` to a counter with the given labels."""
         key = (name, tuple(sorted(labels.items())))
         self._value_by_key[key] = self._value_by_key.get(key, 0) + amount
         if self._meter:
@@ -42,7 +42,7 @@
             self._get(name, self._create_histogram).record(value_s, labels)
 
     def observe(self, name, read):
-        """Show ``read()``'s number, or its dict by label, as a gauge."""
+        """Create a gauge of ``read()``: a number, or a dict by label."""
         if not self._meter:
             return
 
@@ -55,11 +55,11 @@
         self._meter.create_observable_gauge(name, [callback])
 
     def get(self, name, **labels):
-        """Return a counter's value, 0 if it was never added to."""
+        """Return the value of a counter, 0 if it was never incremented."""
         return self._value_by_key.get((name, tuple(sorted(labels.items()))), 0)
 
     def get_all(self):
-        """Return every counter's value by ``name{label=value,...}``."""
+        """Return the values of all counters by ``name{label=value,...}``."""
         result = {}
         for (name, labels), value in sorted(self._value_by_key.items()):
             inner = ",".join(f"{key}={label}" for key, label in labels)
@@ -78,12 +78,12 @@
 
 
 def make_meter(vm, role):
-    """Return a meter whose values ``render_metrics`` shows."""
+    """Return a meter whose values ``render_metrics`` exports."""
     resource = Resource.create({"service.name": f"godwit-{role}", "host.name": vm})
     provider = MeterProvider([PrometheusMetricReader()], resource=resource)
     return provider.get_meter("godwitlanding")
 
 
 def render_metrics():
-    """Return all metrics of the process as Prometheus text, in bytes."""
+    """Return all metrics of the process as Prometheus text (bytes)."""
     return generate_latest(REGISTRY)
--- a/godwitlanding/base/rendezvous.py
+++ b/godwitlanding/base/rendezvous.py
@@ -1,7 +1,8 @@
-"""Rendezvous hashing: every process picks the same member without asking.
+"""Rendezvous hashing: picks the same member in every process.
 
-Each name is scored against the key and the highest score wins, so a member
-that leaves moves only the keys it had, and a new one takes an equal part.
+The member with the highest hash of key and name is chosen. When a member
+leaves, only its keys move; a new member takes over an equal share of the
+keys. No communication is needed.
 
 >>> rank("service/status", ["maz-a1", "maz-a2"])[0]
 'maz-a1'
@@ -11,12 +12,12 @@
 
 
 def rank(key, names):
-    """Return ``names`` in the order in which they should take ``key``."""
+    """Return ``names`` in order of preference for ``key``."""
     return sorted(names, key=lambda name: (-_score(key, name), name))
 
 
 def choose(key, names):
-    """Return the first of ``rank``, or an empty name where there is none."""
+    """Return the first of ``rank``, an empty string if there is none."""
     return min(names, key=lambda name: (-_score(key, name), name), default="")
 
 
--- a/godwitlanding/base/schema.py
+++ b/godwitlanding/base/schema.py
@@ -1,8 +1,9 @@
-"""Checks JSON with comments against a table of fields.
+"""Validates JSON with comments against a schema.
 
-Settings and the operators' configuration text are both described by such a
-table. All mistakes are found in one reading, each with the key, the line
-where it can be known, what was found and what was expected.
+A schema is a dict of ``Field`` by key; the settings and the operators'
+configuration text each have one. All problems are collected in one pass,
+each with the key, the line if known, the value found and what was
+expected.
 
 >>> table = {"port": Field("integer", default=80, minimum=1, maximum=65535)}
 >>> check_text("{prot: 80}", table).unwrap_err()[0].expected
@@ -31,10 +32,10 @@
 
 
 class Field(NamedTuple):
-    """What one key may hold.
+    """Schema of the value of one key.
 
     ``kind`` is text, integer, number, boolean, list or table. ``item`` is
-    the field of a list's items; ``table`` the fields of a table, by key.
+    the schema of a list's items; ``table`` the schema of a table, by key.
     """
 
     kind: str
@@ -50,7 +51,7 @@
 
 
 class Problem(NamedTuple):
-    """One mistake in a text; ``line`` is 0 where it is not known."""
+    """A validation error; ``line`` is 0 if it is not known."""
 
     code: Code
     path: str
@@ -67,7 +68,7 @@
 
 
 def read_text(text):
-    """Parse JSON with comments; ``Ok(value)`` or ``Err([problem])``."""
+    """Parse JSON with comments; return ``Ok(value)`` or ``Err([problem])``."""
     try:
         return Ok(pyjson5.decode(text))
     except pyjson5.Json5DecoderException as error:
@@ -84,7 +85,11 @@
 
 
 def check_text(text, table):
-    """Parse and check; ``Ok`` the completed value or ``Err`` all problems."""
+    """Parse and validate a text.
+
+    Returns ``Ok`` with the value completed by defaults, or ``Err`` with all
+    problems.
+    """
     parsed = read_text(text)
     if parsed.is_err():
         return parsed
@@ -94,19 +99,23 @@
 
 
 class Checker:
-    """Collects the problems of one text."""
+    """Validates the values of one text and collects its problems."""
 
     def __init__(self, text):
         self.problems = []
         self._text = text
 
     def add(self, code, path, found, expected, near=None):
-        """Note a problem; ``near`` is a word that stands on its line."""
+        """Add a problem.
+
+        ``near`` is a word of the text by which the line is found; the
+        default is the last part of ``path``.
+        """
         line = self._find_line(near or path.rpartition(".")[2])
         self.problems.append(Problem(code, path, line, found, expected))
 
     def check(self, value, field, path):
-        """Return ``value`` completed with defaults; note what is wrong."""
+        """Validate ``value``; return it completed with defaults."""
         expected_types = _TYPES_BY_KIND[field.kind]
         is_boolean = isinstance(value, bool) and field.kind != "boolean"
         if is_boolean or not isinstance(value, expected_types):
@@ -168,7 +177,7 @@
         self.add(Code.CONFIG_UNKNOWN_KEY, path, repr(key), expected)
 
     def _find_line(self, word):
-        # Only a word that stands once in the text points to one line.
+        # The line is known only if the word occurs once in the text.
         word = re.sub(r"\[\d+\]$", "", word)
         if not word:
             return 0
--- a/godwitlanding/base/settings.py
+++ b/godwitlanding/base/settings.py
@@ -1,8 +1,8 @@
-"""Settings of one process: one table of defaults, read and checked here.
+"""Schema, defaults and reader of the settings file of a process.
 
-A process learns its addresses and its availability zone from its settings.
-Everything about services and upstreams stands in the operators'
-configuration text instead. Each key is described in ``docs/settings.rst``.
+The settings contain the addresses and the availability zone of the process.
+Services and upstreams are defined in the operators' configuration text
+instead. Each key is described in ``docs/settings.rst``.
 """
 
 from pathlib import Path
@@ -101,12 +101,12 @@
 
 
 def check_settings(text):
-    """Return ``Ok(settings by key)`` or ``Err`` with every problem."""
+    """Return ``Ok(settings by key)`` or ``Err`` with a list of problems."""
     return check_text(text, SETTINGS)
 
 
 def read_settings(path):
-    """Read and check a settings file, as ``check_settings`` does."""
+    """Read and validate a settings file, as ``check_settings`` does."""
     try:
         text = Path(path).read_text()
     except (OSError, UnicodeDecodeError) as error:
--- a/godwitlanding/base/store.py
+++ b/godwitlanding/base/store.py
@@ -1,7 +1,7 @@
-"""A client of the platform's object API over HTTP.
+"""HTTP client of the platform's object API.
 
-The contract stands in ``docs/platform_api.rst``. Nothing here retries: only
-the caller knows whether doing it twice is safe.
+The API is specified in ``docs/platform_api.rst``. The client never retries:
+only the code that calls it knows whether repeating a call is safe.
 """
 
 import base64
@@ -34,20 +34,23 @@
     413: Code.VALUE_TOO_LARGE,
     429: Code.RATE_LIMITED,
 }
-# Revisions of the copies from which the platform has come back.
+# Response header: revisions of the backups from which the platform has been
+# restored.
 _COPIES_HEADER = "Platform-Copies"
-# Rate limits are counted by the second, so a second later is another count.
+# Rate limits are counted per second, so a retry one second later falls into
+# another interval.
 _RATE_LIMIT_RETRY_S = 1.0
-# One slow call must not hold up the others behind a full connection pool.
+# High enough that slow calls do not block others on a full connection pool.
 _MAX_CONNECTIONS = 64
 
 
 class HttpStore:
     """The platform's object API over HTTP.
 
-    ``timeout_s`` bounds each call; a watch may take its own time on top.
-    Versions that the platform has lost, as it came back from an older copy,
-    are no condition of a write and have expired for a watch.
+    ``timeout_s`` limits each call; a watch may take its own timeout in
+    addition. If the platform was restored from a backup, a write conditional
+    on a version that was lost is a conflict, and a watch from such a version
+    has expired.
 
     >>> store = HttpStore("http://10.0.0.5:8000", 2.0)
     >>> (await store.get("config", "main")).unwrap().version
@@ -63,57 +66,60 @@
 
     async def get(self, kind, name):
         """Return ``Ok(StoredObject)``."""
-        answer = await self._call("get", "GET", _object_path(kind, name))
-        return answer.and_then(lambda a: _read_object(kind, name, a))
+        result = await self._call("get", "GET", _object_path(kind, name))
+        return result.and_then(lambda a: _read_object(kind, name, a))
 
     async def list(self, kind):
         """Return ``Ok(tuple of StoredObject)``."""
-        answer = await self._call("list", "GET", _kind_path(kind))
-        return answer.and_then(lambda a: _read_json(a, _read_list, kind))
+        result = await self._call("list", "GET", _kind_path(kind))
+        return result.and_then(lambda a: _read_json(a, _read_list, kind))
 
     async def put(self, kind, name, value, expected_version):
-        """Write if the version is as expected; ``Ok(new version)``."""
+        """Write if the version matches; return ``Ok(new version)``."""
         if len(value) > MAX_VALUE_BYTES:
             return Err(make_refusal(Code.VALUE_TOO_LARGE))
         if self._is_lost(expected_version):
             return Err(make_refusal(Code.VERSION_CONFLICT))
-        answer = await self._call(
+        result = await self._call(
             "put",
             "PUT",
             _object_path(kind, name),
             headers=_make_condition(expected_version),
             data=value,
         )
-        return answer.and_then(self._read_written_version)
+        return result.and_then(self._read_written_version)
 
     async def delete(self, kind, name, expected_version):
-        """Delete if the version is as expected; ``Ok(version)``."""
+        """Delete if the version matches; return ``Ok(version)``."""
         if self._is_lost(expected_version):
             return Err(make_refusal(Code.VERSION_CONFLICT))
-        answer = await self._call(
+        result = await self._call(
             "delete",
             "DELETE",
             _object_path(kind, name),
             headers=_make_condition(expected_version),
         )
-        return answer.and_then(self._read_written_version)
+        return result.and_then(self._read_written_version)
 
     async def watch(self, kind, after, timeout_s):
-        """Wait for changes of a kind; ``Ok(WatchBatch)``, maybe empty."""
+        """Wait for changes of a kind; return ``Ok(WatchBatch)``.
+
+        The batch is empty after ``timeout_s`` without a change.
+        """
         if self._is_lost(after):
             return Err(make_refusal(Code.WATCH_EXPIRED))
         query = f"after={get_revision(after)}&timeout_s={timeout_s}"
         path = f"/v1/watch/{quote(kind, safe='')}?{query}"
-        answer = await self._call("watch", "GET", path, extra_s=timeout_s)
-        if answer.is_ok() and self._is_lost(after):
-            # The platform may have a change of that revision again.
+        result = await self._call("watch", "GET", path, extra_s=timeout_s)
+        if result.is_ok() and self._is_lost(after):
+            # The restored platform may reuse that revision for another change.
             return Err(make_refusal(Code.WATCH_EXPIRED))
-        return answer.and_then(lambda a: _read_json(a, _read_batch, kind))
+        return result.and_then(lambda a: _read_json(a, _read_batch, kind))
 
     async def list_vms(self):
         """Return ``Ok(VmList)``."""
-        answer = await self._call("list_vms", "GET", "/v1/vms")
-        return answer.and_then(lambda a: _read_json(a, _read_vms))
+        result = await self._call("list_vms", "GET", "/v1/vms")
+        return result.and_then(lambda a: _read_json(a, _read_vms))
 
     async def close(self):
         """Close every connection."""
@@ -121,11 +127,11 @@
             await self._session.close()
 
     async def _call(self, operation, method, path, extra_s=0.0, **keywords):
-        answer = await self._send(method, path, extra_s, keywords)
+        result = await self._send(method, path, extra_s, keywords)
         if self._counters:
-            outcome = "OK" if answer.is_ok() else answer.unwrap_err().code.name
+            outcome = "OK" if result.is_ok() else result.unwrap_err().code.name
             self._counters.add("platform_calls", operation=operation, outcome=outcome)
-        return answer
+        return result
 
     async def _send(self, method, path, extra_s, keywords):
         timeout = aiohttp.ClientTimeout(total=self._timeout_s + extra_s)
@@ -149,16 +155,16 @@
         retry_after_s = _RATE_LIMIT_RETRY_S if code is Code.RATE_LIMITED else 0.0
         return Err(make_refusal(code, retry_after_s))
 
-    def _read_written_version(self, answer):
-        if len(answer.copies) < len(self._copies):
+    def _read_written_version(self, reply):
+        if len(reply.copies) < len(self._copies):
             return _make_unavailable("written before the platform was restored")
-        return _read_json(answer, _read_version)
+        return _read_json(reply, _read_version)
 
     def _is_lost(self, version):
         return find_version(get_revision(version), self._copies) != version
 
     def _get_session(self):
-        # A session belongs to a running loop, so it cannot be made earlier.
+        # A session needs a running event loop, so it is created on first use.
         if self._session is None:
             self._session = make_session(_MAX_CONNECTIONS)
         return self._session
@@ -193,18 +199,18 @@
     return tuple(int(part) for part in parts if part.isdecimal())
 
 
-def _read_object(kind, name, answer):
-    revision = answer.etag.strip('"')
+def _read_object(kind, name, reply):
+    revision = reply.etag.strip('"')
     if not revision.isdecimal():
-        return _make_unavailable(f"ETag {answer.etag!r} is no version")
-    version = find_version(int(revision), answer.copies)
-    return Ok(StoredObject(kind, name, version, answer.body))
+        return _make_unavailable(f"ETag {reply.etag!r} is no version")
+    version = find_version(int(revision), reply.copies)
+    return Ok(StoredObject(kind, name, version, reply.body))
 
 
-def _read_json(answer, read, *arguments):
-    # An answer that is not what the page says is as good as none.
+def _read_json(reply, read, *arguments):
+    # A response that violates the specification counts as no response.
     try:
-        return Ok(read(json.loads(answer.body), answer.copies, *arguments))
+        return Ok(read(json.loads(reply.body), reply.copies, *arguments))
     except (ValueError, KeyError, TypeError) as error:
         return _make_unavailable(f"answer cannot be read: {error!r}")
 
--- a/godwitlanding/base/storetypes.py
+++ b/godwitlanding/base/storetypes.py
@@ -1,22 +1,22 @@
-"""The platform's objects, and what godwitlanding needs of the store there.
+"""Types of the platform's object store, independent of the client.
 
-Versions, conditional updates, watches and the list of VMs. The types stand
-apart from the clients, so that a process imports only the client it uses.
+Objects, versions, watches, the VM list and the store's interface. They are
+separate from the clients so that a process imports only the client it uses.
 """
 
 from typing import NamedTuple, Protocol
 
 MAX_VALUE_BYTES = 1_000_000
-# More changes than a store has in its life.
+# More changes than a store makes in its lifetime.
 _REVISIONS_PER_ERA = 10**12
 
 
 def make_version(era, revision):
-    """Return a version that is higher than all of earlier eras.
+    """Return a version that is higher than all versions of earlier eras.
 
-    A store that comes back from an older copy gives revisions out again, in
-    a higher era. Whoever compared revisions alone would take every change
-    for a late one, until the revision is beyond what it has seen.
+    A store that is restored from a backup starts a new era and reuses
+    revisions. A comparison of revisions alone would discard every change as
+    outdated until the revision exceeds the highest one seen before.
 
     >>> make_version(2, 5) > make_version(1, 9)
     True
@@ -25,20 +25,20 @@
 
 
 def get_era(version):
-    """Return the era of a version."""
+    """Return the era of a version: the number of restores before it."""
     return version // _REVISIONS_PER_ERA
 
 
 def get_revision(version):
-    """Return the revision, by which the store itself knows a version."""
+    """Return the store's own revision number of a version."""
     return version % _REVISIONS_PER_ERA
 
 
 def find_version(revision, copies):
-    """Return the version of a revision of a platform that tells its copies.
+    """Return the version of a revision, given the platform's restores.
 
-    ``copies`` are the revisions of the copies from which it has come back,
-    oldest first. What a copy holds keeps the version that it had.
+    ``copies`` are the revisions of the backups from which the platform was
+    restored, oldest first. Objects in a backup keep their versions.
 
     >>> find_version(5, (4,)) > find_version(9, ()) > find_version(3, (4,))
     True
@@ -48,9 +48,10 @@
 
 
 class StoredObject(NamedTuple):
-    """An object of the platform; ``version`` grows with every write.
+    """An object of the platform's store.
 
-    It also grows where the store has come back from an older copy.
+    ``version`` increases with every write, also after the store was restored
+    from a backup.
     """
 
     kind: str
@@ -60,7 +61,7 @@
 
 
 class VmEntry(NamedTuple):
-    """A row of the platform's list of VMs; ``state`` is live or leaving."""
+    """A row of the platform's VM list; ``state`` is live or leaving."""
 
     vm: str
     address: str
@@ -69,39 +70,39 @@
 
 
 class VmList(NamedTuple):
-    """The platform's list of VMs, which lags."""
+    """The platform's VM list, which may lag behind."""
 
     version: int
     vms: tuple[VmEntry, ...]
 
 
 class Snapshot(NamedTuple):
-    """All objects of a kind as they stood at a version of the store."""
+    """All objects of a kind at a version of the store."""
 
     version: int
     objects: tuple[StoredObject, ...]
 
 
 class WatchEvent(NamedTuple):
-    """A change of an object; ``deleted`` tells that it is gone."""
+    """A change of an object; ``deleted`` is set if it was deleted."""
 
     stored: StoredObject
     deleted: bool
 
 
 class WatchBatch(NamedTuple):
-    """Changes after a version, and the version to go on from."""
+    """Changes after a version, and the version to continue from."""
 
     version: int
     events: tuple[WatchEvent, ...]
 
 
 class Store(Protocol):
-    """What godwitlanding needs of the platform; all answers are results.
+    """Interface of a store client; each method returns a ``Result``.
 
     Errors are ``Err(Refusal)`` with NOT_FOUND, VERSION_CONFLICT,
     VALUE_TOO_LARGE, RATE_LIMITED, WATCH_EXPIRED or PLATFORM_UNAVAILABLE.
-    After PLATFORM_UNAVAILABLE on a write the write may have taken effect.
+    A write that returns PLATFORM_UNAVAILABLE may have taken effect.
     """
 
     async def get(self, kind, name):
@@ -111,16 +112,19 @@
         """Return ``Ok(tuple of StoredObject)``."""
 
     async def put(self, kind, name, value, expected_version):
-        """Write if the version is as expected (0: must not exist).
+        """Write if the version matches (0: the object must not exist).
 
         Returns ``Ok(new version)``.
         """
 
     async def delete(self, kind, name, expected_version):
-        """Delete if the version is as expected; ``Ok(version)``."""
+        """Delete if the version matches; return ``Ok(version)``."""
 
     async def watch(self, kind, after, timeout_s):
-        """Wait for changes of a kind; ``Ok(WatchBatch)``, maybe empty."""
+        """Wait for changes of a kind; return ``Ok(WatchBatch)``.
+
+        The batch is empty after ``timeout_s`` without a change.
+        """
 
     async def list_vms(self):
         """Return ``Ok(VmList)``."""
--- a/godwitlanding/base/tasks.py
+++ b/godwitlanding/base/tasks.py
@@ -1,21 +1,21 @@
-"""Loops that a service runs until it is stopped."""
+"""Background tasks and periodic loops of services."""
 
 import asyncio
 import traceback
 
 from godwitlanding.base.log import log_error
 
-# Between two cancellations a task may tidy up.
+# Time for a cancelled task to clean up before it is cancelled again.
 _CANCEL_RETRY_S = 0.2
 
 
 async def end_tasks(tasks):
     """Cancel tasks and wait until all have ended.
 
-    asyncio.wait_for of Python 3.11 returns its answer and forgets the
-    cancellation when both come together. A loop around it then goes on,
-    and a stop that cancelled it once would wait for it for ever; so those
-    that are left are cancelled again.
+    asyncio.wait_for of Python 3.11 loses a cancellation that coincides with
+    the result. A loop around it then continues, and a stop that cancelled
+    it only once would wait forever. Tasks that are still running are
+    therefore cancelled again.
     """
     pending = set(tasks)
     while pending:
@@ -27,9 +27,9 @@
 def start_task(coroutine):
     """Run a coroutine in the background and return its task.
 
-    A failure is logged. asyncio tells of it only once nobody holds the task
-    any more, and a service holds its own until it stops: a loop that has
-    ended would be missed by its effects alone.
+    An exception is logged. asyncio reports it only when the task is garbage
+    collected, and a service references its tasks until it stops, so a failed
+    loop would otherwise go unnoticed.
     """
     task = asyncio.ensure_future(coroutine)
     task.add_done_callback(_log_failure)
@@ -42,35 +42,35 @@
 
 
 class Tasks:
-    """Background coroutines of a service, ended together."""
+    """Background tasks of a service, which are cancelled together."""
 
     def __init__(self):
         self._tasks = set()
 
     def run(self, coroutine):
-        """Run a coroutine in the background; a failure is logged."""
+        """Run a coroutine in the background; an exception is logged."""
         task = start_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def repeat(self, interval_s, function):
-        """Call a coroutine function again and again, ``interval_s`` apart."""
+        """Call a coroutine function repeatedly, ``interval_s`` apart."""
         return self.run(_repeat(interval_s, function))
 
     async def wait(self, limit_s):
-        """Wait for what runs to end by itself, ``limit_s`` at most."""
+        """Wait up to ``limit_s`` for the tasks to end by themselves."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=limit_s)
 
     async def stop(self):
-        """Cancel what still runs and wait for its end."""
+        """Cancel the running tasks and wait until they have ended."""
         await end_tasks(self._tasks)
 
 
 async def _repeat(interval_s, function):
-    # One failure must not end the loop: a heartbeat that stops for good
-    # would take its member out of the zone though the process runs.
+    # An exception must not end the loop: without its heartbeats, a member
+    # would be removed from the zone although its process is running.
     while True:
         try:
             await function()
--- a/godwitlanding/base/timers.py
+++ b/godwitlanding/base/timers.py
@@ -1,8 +1,8 @@
-"""Times at which something becomes due, by key, for modules without a clock.
+"""Timers by key, for modules that get the current time as an argument.
 
-Answers the cost of many waiting requests and open permits: a scan over all
-of them at each decision grows with the queue and stops the loop just when
-it is full. Here each operation is logarithmic in the number of keys.
+Scanning all waiting requests and open permits at each decision would take
+time proportional to the queue and block the event loop when the queue is
+full. Here each operation is logarithmic in the number of keys.
 
 >>> timers = Timers()
 >>> timers.set("permit 1", 5.0)
@@ -12,13 +12,14 @@
 
 from heapq import heapify, heappop, heappush
 
-# Cancelled entries stay in the heap until they surface; rebuilt when they
-# outnumber the live ones, so that the heap stays within twice its need.
+# Cancelled entries stay in the heap until they reach its top. The heap is
+# rebuilt when they outnumber the live entries by this margin, so that its size
+# stays within about twice the number of live entries.
 _SLACK = 64
 
 
 class Timers:
-    """A heap of times; a key has at most one time."""
+    """A heap of due times; each key has at most one."""
 
     def __init__(self):
         self._time_by_key = {}
@@ -26,7 +27,7 @@
         self._sequence = 0
 
     def set(self, key, time):
-        """Make ``key`` due at ``time`` in place of its former time."""
+        """Set the due time of ``key``, replacing an earlier one."""
         if self._time_by_key.get(key) == time:
             return
         self._time_by_key[key] = time
@@ -36,11 +37,11 @@
             self._rebuild()
 
     def cancel(self, key):
-        """Forget the time of ``key``, if it has one."""
+        """Remove the due time of ``key``, if it has one."""
         self._time_by_key.pop(key, None)
 
     def get_next_time(self):
-        """Return the earliest time, or ``None``."""
+        """Return the earliest due time, or ``None``."""
         self._drop_stale()
         return self._heap[0][0] if self._heap else None
 
--- a/godwitlanding/base/web.py
+++ b/godwitlanding/base/web.py
@@ -1,4 +1,4 @@
-"""HTTP servers of our daemons: uvicorn on the plain asyncio loop."""
+"""HTTP server of the daemons: uvicorn on the standard asyncio loop."""
 
 import asyncio
 import contextlib
@@ -16,12 +16,12 @@
 PROBLEM_TYPE = "application/problem+json"
 KEEP_ALIVE_S = 30
 BACKLOG = 512
-# Connections that are idle, or are being told that there are too many.
+# Connections that are idle or receive the refusal of too many connections.
 SPARE_CONNECTIONS = 500
 
 
 class _Server(uvicorn.Server):
-    """uvicorn without its own signal handlers: the kernel has them."""
+    """uvicorn without its signal handlers; the kernel installs its own."""
 
     @contextlib.contextmanager
     def capture_signals(self):
@@ -31,9 +31,9 @@
 class HttpServer(Service):
     """Serves an ASGI app at ``host:port`` until it is stopped.
 
-    Stopping lets the requests in progress finish, unless ``ends_at_once``:
-    answers that take no time need no waiting, and a process that is about
-    to be killed has none for them.
+    Stopping waits for the requests in progress unless ``cancel_on_stop`` is
+    set: immediate responses need no waiting, and a process that is about to
+    be killed has no time for it.
     """
 
     def __init__(
@@ -59,30 +59,32 @@
             lifespan="off",
             log_config=None,
             access_log=False,
-            # No proxy stands before us: X-Forwarded-For would let a caller
-            # take another's name, and with it its share and its ticket's home.
+            # There is no proxy in front of the server. X-Forwarded-For would
+            # let a caller impersonate another one and use its share and its
+            # ticket's home.
             proxy_headers=False,
             server_header=False,
             date_header=False,
             timeout_keep_alive=KEEP_ALIVE_S,
             backlog=BACKLOG,
-            # The last guard, past which refusals have no number.
+            # Last resort: beyond this limit uvicorn refuses requests without a
+            # result code.
             limit_concurrency=max_connections + SPARE_CONNECTIONS,
         )
         self._server = _Server(config)
         self._task = None
 
     async def start(self, kernel):
-        """Listen; raises ``OSError`` where the port cannot be had."""
+        """Listen; raise ``OSError`` if the port is unavailable."""
         self._task = asyncio.ensure_future(self._serve())
         while not self._server.started:
             if self._task.done():
                 self._task.result()
-                raise OSError(f"{self.name}: the server ended at once")
+                raise OSError(f"{self.name}: the server exited during startup")
             await asyncio.sleep(0.01)
 
     async def stop(self):
-        """Take no new connection and wait for the requests in progress."""
+        """Stop accepting connections; wait for the requests in progress."""
         self._server.should_exit = True
         if self._cancel_on_stop:
             self._task.cancel()
@@ -90,11 +92,11 @@
             await self._task
 
     def force(self):
-        """Wait for requests no longer: the limit of a stop is reached."""
+        """Stop waiting for requests: the time limit of the stop has passed."""
         self._server.force_exit = True
 
     async def _serve(self):
-        # uvicorn ends the process by SystemExit when it cannot bind.
+        # uvicorn raises SystemExit if it cannot bind the port.
         try:
             await self._server.serve()
         except SystemExit as error:
@@ -102,7 +104,7 @@
 
 
 def make_problem(refusal, request_id=""):
-    """Return a refusal's body, status and headers as a ``JSONResponse``."""
+    """Return the problem details of a refusal as a ``JSONResponse``."""
     row = ROW_BY_CODE[refusal.code]
     body = {
         "type": f"urn:godwitlanding:code:{refusal.code.value}",
@@ -126,10 +128,10 @@
 
 
 def make_status_routes(get_kernel, counters, is_ready, replica=None):
-    """Return the routes under ``/-/`` that operators read on every daemon.
+    """Return the operators' status routes under ``/-/`` of a daemon.
 
-    ``kernel_of`` and ``is_ready`` are functions, since routes are made
-    before the kernel. With ``replica`` the status shows the versions held.
+    ``get_kernel`` is a function because the routes are created before the
+    kernel. With ``replica`` the status contains the versions held.
     """
 
     async def get_metrics(request):
--- a/godwitlanding/base/wire.py
+++ b/godwitlanding/base/wire.py
@@ -1,12 +1,12 @@
-"""Calls between our processes: framed messages over TCP.
+"""Remote calls between processes: framed messages over TCP.
 
-A connection starts with a ``Hello`` each way. After that either side may
-call the other; answers are matched to calls by id, so they may come late
-or out of order without ever reaching the wrong caller.
+A connection starts with a ``Hello`` in each direction. After that either
+side may call the other. Responses are matched to calls by id, so late and
+out-of-order responses never reach the wrong call.
 
->>> server = Server(hello, {Fetch: answer_fetch}, counters)
+>>> server = Server(hello, {Fetch: handle_fetch}, counters)
 >>> await server.start("127.0.1.1", 7101)
->>> answer = await pool.call("127.0.1.1:7101", Fetch("config", "main"), 1.0)
+>>> response = await pool.call("127.0.1.1:7101", Fetch("config", "main"), 1.0)
 """
 
 import asyncio
@@ -27,21 +27,22 @@
 )
 
 _LENGTH = struct.Struct("<I")
-# The platform's values end at 1 MB; a State message adds little to that.
+# The platform's values are at most 1 MB; a State message adds little.
 MAX_FRAME_BYTES = 1_100_000
-# Connections that are closed here end within a turn or two of the loop.
+# Closed connections end within one or two iterations of the event loop.
 STOP_WAIT_S = 0.5
 HELLO_TIMEOUT_S = 2.0
 CONNECT_TIMEOUT_S = 1.0
-# A peer that reads nothing must not fill our memory: its connection goes.
+# A connection is closed beyond this, so that a peer that does not read cannot
+# exhaust the memory.
 MAX_UNSENT_BYTES = 8_000_000
-# A peer whose machine has lost its power never resets the connection; data
-# that it does not acknowledge for this long end it.
+# A peer whose machine has lost power never resets the connection. The
+# connection ends when sent data is not acknowledged for this long.
 USER_TIMEOUT_MS = 3000
 
 
 class Channel:
-    """One connection between two processes, usable from both sides."""
+    """A connection between two processes; both sides can make calls."""
 
     def __init__(self, reader, writer, hello, handler_by_type, counters):
         self.peer = None
@@ -58,7 +59,10 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
     async def handshake(self):
-        """Exchange hellos; return an ``Ok`` or the ``Err`` that ends it."""
+        """Exchange hellos; return ``Ok(Hello)`` of the peer or ``Err``.
+
+        After an ``Err`` the connection has to be closed.
+        """
         self._write(Envelope(0, False, self._hello))
         try:
             envelope = await asyncio.wait_for(self._read(), HELLO_TIMEOUT_S)
@@ -80,7 +84,7 @@
         return Ok(hello)
 
     async def run(self):
-        """Read frames until the connection ends, then fail open calls."""
+        """Read frames until the connection ends; then fail the open calls."""
         try:
             while True:
                 self._dispatch(await self._read())
@@ -93,17 +97,18 @@
             self.close()
 
     def send(self, message):
-        """Send a message that wants no answer; dropped when closed."""
+        """Send a message without a response; drop it if closed."""
         self._write(Envelope(0, False, message))
 
     async def call(self, message, timeout_s):
-        """Return ``Ok(answer)`` or ``Err(refusal)``; a peer raises nothing."""
+        """Return ``Ok(response)`` or ``Err(refusal)``, also on peer errors."""
         return await self.start_call(message, timeout_s)
 
     def start_call(self, message, timeout_s):
-        """Return a future of what ``call`` returns.
+        """Start a call; return a future of the result of ``call``.
 
-        Whoever waits may leave and learn by a callback what came after all.
+        If the waiting code gives up, a callback of the future still gets a
+        late result.
         """
         loop = asyncio.get_running_loop()
         future = loop.create_future()
@@ -118,7 +123,7 @@
         return future
 
     def close(self):
-        """End the connection and everything that waits on it."""
+        """Close the connection; fail its calls and cancel its handlers."""
         if self.closed.is_set():
             return
         self.closed.set()
@@ -148,7 +153,7 @@
 
     def _dispatch(self, envelope):
         if envelope.answer:
-            # An answer after its timeout has no call any more: drop it.
+            # The call of a response after the timeout no longer exists.
             if not self._complete_call(envelope.id, _make_result(envelope.message)):
                 self._counters.add("wire_dropped", reason="late_answer")
             return
@@ -160,7 +165,7 @@
         self._complete_call(call_id, Err(make_refusal(Code.CALL_TIMEOUT)))
 
     def _complete_call(self, call_id, result):
-        """Give a call its result; tell whether anybody still waits."""
+        """Set the result of a call; return whether it was still pending."""
         future, timer = self._call_by_id.pop(call_id, (None, None))
         if future is None:
             return False
@@ -174,15 +179,15 @@
         handler = self._handler_by_type.get(type(envelope.message))
         if handler is None:
             self._counters.add("wire_refused", code=Code.UNEXPECTED_MESSAGE.name)
-            answer = Failure(Code.UNEXPECTED_MESSAGE.value)
+            response = Failure(Code.UNEXPECTED_MESSAGE.value)
         else:
-            answer = await self._run_handler(handler, envelope.message)
+            response = await self._run_handler(handler, envelope.message)
         if envelope.id:
-            self._write(Envelope(envelope.id, True, answer or Ack()))
+            self._write(Envelope(envelope.id, True, response or Ack()))
 
     async def _run_handler(self, handler, message):
-        # One bad message must not end the process, nor leave its sender
-        # waiting for its whole timeout.
+        # An exception must neither end the process nor leave the sender
+        # waiting until its timeout.
         try:
             return await handler(self, message)
         except Exception as error:
@@ -195,10 +200,10 @@
             return Failure(Code.HANDLER_FAILED.value, repr(error))
 
 
-def _make_result(answer):
-    if isinstance(answer, Failure):
-        return Err(make_refusal(_to_code(answer.code), detail=answer.detail))
-    return Ok(answer)
+def _make_result(response):
+    if isinstance(response, Failure):
+        return Err(make_refusal(_to_code(response.code), detail=response.detail))
+    return Ok(response)
 
 
 def _to_code(number):
@@ -209,10 +214,10 @@
 
 
 class Server:
-    """Accepts connections and answers their calls.
+    """Accepts connections and handles their calls.
 
-    Handlers are coroutines ``handler(channel, message)`` that return the
-    answer; ``None`` answers ``Ack``.
+    Handlers are coroutine functions ``handler(channel, message)`` that
+    return the response; ``None`` is sent as ``Ack``.
     """
 
     def __init__(self, hello, handler_by_type, counters, on_channel=None):
@@ -225,7 +230,7 @@
         self._channel_by_task = {}
 
     async def start(self, host, port):
-        """Listen on ``host:port``."""
+        """Start listening on ``host:port``."""
         self._server = await asyncio.start_server(self._accept, host, port)
 
     def get_port(self):
@@ -238,8 +243,8 @@
             self._server.close()
         for channel in self._channel_by_task.values():
             channel.close()
-        # What is still reading when the loop ends is cancelled there, and
-        # asyncio's streams print that as an error that nobody expected.
+        # A task that is still reading when the event loop ends is cancelled,
+        # which asyncio's streams print as an unexpected error.
         if self._channel_by_task:
             await asyncio.wait(list(self._channel_by_task), timeout=STOP_WAIT_S)
 
@@ -269,7 +274,7 @@
 
 
 class Pool:
-    """Dials peers by ``host:port`` and keeps one connection to each."""
+    """Connects to peers by ``host:port``; keeps one connection to each."""
 
     def __init__(self, hello, handler_by_type, counters):
         self._hello = hello
@@ -285,7 +290,7 @@
         return channel if channel and not channel.closed.is_set() else None
 
     async def get_channel(self, address):
-        """Return ``Ok(channel)`` to ``address``, dialling where needed."""
+        """Return ``Ok(channel)`` to ``address``; connect if necessary."""
         channel = self.find_open_channel(address)
         if channel:
             return Ok(channel)
@@ -294,26 +299,26 @@
             dial = asyncio.ensure_future(self._dial(address))
             self._dial_by_address[address] = dial
             dial.add_done_callback(lambda _: self._dial_by_address.pop(address))
-        # Shielded: one caller that gives up must not fail the others.
+        # Shielded: cancelling one waiter must not fail the others.
         return await asyncio.shield(dial)
 
     async def call(self, address, message, timeout_s):
-        """Call the peer at ``address``; ``Ok(answer)`` or ``Err(refusal)``."""
+        """Call the peer at ``address``, as ``Channel.call`` does."""
         channel = self.find_open_channel(address)
         if channel:
             return await channel.call(message, timeout_s)
         loop = asyncio.get_running_loop()
-        end = loop.time() + timeout_s
+        deadline = loop.time() + timeout_s
         try:
             connected = await asyncio.wait_for(self.get_channel(address), timeout_s)
         except TimeoutError:
             return Err(make_refusal(Code.PEER_UNREACHABLE))
         if connected.is_err():
             return connected
-        return await connected.unwrap().call(message, max(0.0, end - loop.time()))
+        return await connected.unwrap().call(message, max(0.0, deadline - loop.time()))
 
     async def send(self, address, message):
-        """Send without an answer; ``Err`` where there is no connection."""
+        """Send a message without a response; ``Err`` if not connected."""
         connected = await self.get_channel(address)
         if connected.is_ok():
             connected.unwrap().send(message)
--- a/godwitlanding/entry.py
+++ b/godwitlanding/entry.py
@@ -1,4 +1,4 @@
-"""``godwit-entry``: carries callers' requests to upstreams.
+"""``godwit-entry``: forwards callers' requests to upstreams.
 
 >>> godwit-entry --settings /etc/godwit/settings.json5
 """
@@ -26,20 +26,20 @@
 from godwitlanding.daemons.services.upstreams import UpstreamClient
 
 ROLE = "entry"
-DESCRIPTION = "Carries requests: permit, dispatch, bounded retry, answer."
+DESCRIPTION = "Forward requests: permit, dispatch, bounded retry, response."
 REQUEST_PREFIX = "/s/"
 FEED_KINDS = ("config", "plan", "secret", "vms", "summary", "members")
 
 
 def parse_arguments(argv=None):
-    """Return the command's arguments."""
+    """Return the command-line arguments."""
     return daemon.parse_arguments(ROLE, DESCRIPTION, argv)
 
 
 def make_services(context, store=None):
     """Return the services of an entry process.
 
-    ``store`` stands in for the platform in tests.
+    ``store`` replaces the client of the platform in tests.
     """
     feed = Feed(context, FEED_KINDS)
     requests = RequestHandler(context)
@@ -82,8 +82,8 @@
     ]
     status = Starlette(routes=routes)
 
-    # Routing and middleware cost as much as all else that is done here to
-    # a request, and there is but one prefix to tell.
+    # Only one prefix has to be distinguished. Starlette's routing and
+    # middleware would cost as much as all other processing of a request.
     async def app(scope, receive, send):
         is_request = scope["path"].startswith(REQUEST_PREFIX)
         await (requests if is_request else status)(scope, receive, send)
@@ -101,7 +101,7 @@
 
 
 class _EntryServer(HttpServer):
-    """The HTTP server, which tells the status routes its kernel."""
+    """HTTP server that passes its kernel to the status routes."""
 
     async def start(self, kernel):
         self.kernel.append(kernel)
--- a/godwitlanding/platform/__init__.py
+++ b/godwitlanding/platform/__init__.py
@@ -1,5 +1,6 @@
-"""The users' platform: its names and formats, decoded once, nothing decided.
+"""Adapter to the users' platform: decodes its names and formats.
 
-Nothing of the product imports this package but ``godwitlanding.program``,
-which assembles the program that runs on the platform, and its command.
+The package makes no decisions. Only ``godwitlanding.program``, which
+assembles the process that runs on the platform, and its command
+``godwitlanding.vm`` import it.
 """
--- a/godwitlanding/platform/endpoints.py
+++ b/godwitlanding/platform/endpoints.py
@@ -1,20 +1,21 @@
-"""The calls that callers and the platform make to a VM besides requests."""
+"""HTTP endpoints of a VM besides requests: directory and readiness."""
 
 import orjson
 
 from godwitlanding.gateway.pages import Page
 
-# Callers keep an answer of the directory this long, some three times as
-# long; it is the shortest that the platform's callers take.
+# Callers cache a response of the directory for this time, some of them three
+# times as long. It is the shortest TTL that the platform's callers accept.
 DIRECTORY_TTL_S = 1.0
 DIRECTORY_PATH = "/resolve"
 READINESS_PATH = "/readyz"
 
 
 def make_directory(choose_addresses):
-    """Return the page that tells callers of a region where to connect.
+    """Return the directory endpoint, by path.
 
-    ``choose_addresses(region)`` returns a list of addresses.
+    It lists the VM addresses for callers of a region.
+    ``choose_addresses(region)`` returns the list of addresses.
     """
 
     def resolve(query):
@@ -27,7 +28,7 @@
 
 
 def make_readiness(is_ready):
-    """Return the page that tells the platform whether this VM serves."""
+    """Return the readiness endpoint of the platform, by path."""
 
     def readyz(query):
         return Page(200 if is_ready() else 503, "text/plain", b"")
--- a/godwitlanding/platform/headers.py
+++ b/godwitlanding/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's names and formats of the headers that the gateway uses."""
+"""Names and formats of the platform's HTTP headers."""
 
 import math
 
@@ -27,9 +27,9 @@
 
 
 def read_self_report(status, headers):
-    """Return the ``SelfReport`` in an answer's headers, pairs of bytes.
+    """Return the ``SelfReport`` in the headers of an upstream's response.
 
-    What cannot be read is logged and left out.
+    ``headers`` are pairs of bytes. An invalid value is logged and skipped.
 
     >>> read_self_report(200, [(b"server-limit", b"2.5")]).limit_per_s
     2.5
@@ -49,13 +49,13 @@
                 value=value.decode("latin-1"),
             )
     if status != _SERVICE_UNAVAILABLE:
-        # What an answer of the work itself says there is for the caller.
+        # On any other status, Retry-After is meant for the caller.
         fields.pop("pause_s", None)
     return SelfReport(**fields)
 
 
 def _read_in_progress(value):
-    # Running, waiting and slots.
+    # The value lists running requests, waiting requests and slots.
     running, waiting, _ = map(_read_count, value.split(b","))
     return running + waiting
 
@@ -63,7 +63,7 @@
 def _read_count(value):
     number = int(value)
     if number < 0:
-        raise ValueError(f"{value!r} is no number of things")
+        raise ValueError(f"{value!r} is a negative count")
     return number
 
 
@@ -74,7 +74,7 @@
 def _read_non_negative(value):
     amount = float(value)
     if not 0.0 <= amount < math.inf:
-        raise ValueError(f"{value!r} is no amount")
+        raise ValueError(f"{value!r} is not a finite non-negative number")
     return amount
 
 
--- a/godwitlanding/platform/objects.py
+++ b/godwitlanding/platform/objects.py
@@ -1,4 +1,4 @@
-"""Decodes what the operator and the upstreams keep in the platform's store."""
+"""Decodes the store objects written by the operator, upstreams and VMs."""
 
 import ipaddress
 import math
@@ -19,9 +19,10 @@
 CONFIG_NAME = "main"
 UPSTREAM_KIND = "servers"
 EVACUATION_KIND = "evacuations"
-# A kind of our own: one object for each VM of the system.
+# Written by this system: one object for each of its VMs.
 VM_KIND = "godwit-vms"
-# Another one: one object for each region, with what its upstreams know.
+# Written by this system: one object for each region, a map of which objects
+# its upstreams know.
 OBJECT_MAP_KIND = "godwit-objects"
 
 _DEFAULT_PRIORITY = 1
@@ -68,16 +69,16 @@
     for row in _read_rows(table):
         workspace = _read_workspace(row)
         if workspace.name in names:
-            raise ValueError(f"workspace {workspace.name!r} stands twice")
+            raise ValueError(f"workspace {workspace.name!r} is listed twice")
         names.add(workspace.name)
         for key in row.get("api_keys") or ():
-            # The message names the workspace: keys stand in no log line.
+            # The message names the workspace because keys must not be logged.
             if not isinstance(key, str) or not key:
-                raise ValueError(f"workspace {workspace.name!r} has an odd key")
-            holder = workspace_by_key.setdefault(key.encode(), workspace)
-            if holder is not workspace:
+                raise ValueError(f"workspace {workspace.name!r} has an invalid key")
+            existing = workspace_by_key.setdefault(key.encode(), workspace)
+            if existing is not workspace:
                 raise ValueError(
-                    f"workspaces {holder.name!r} and {workspace.name!r} share a key"
+                    f"workspaces {existing.name!r} and {workspace.name!r} share a key"
                 )
     return workspace_by_key
 
@@ -85,9 +86,9 @@
 def _read_workspace(row):
     name = row["name"]
     if not isinstance(name, str) or not (name.isascii() and name.isprintable()):
-        raise ValueError(f"{name!r} is no name of a workspace")
+        raise ValueError(f"{name!r} is not a valid workspace name")
     if not name:
-        raise ValueError("a workspace has no name")
+        raise ValueError("workspace name is empty")
     priority = row.get("priority")
     return Workspace(
         name=name,
@@ -101,7 +102,7 @@
 def _read_non_negative(name, value):
     amount = float(value)
     if not 0.0 <= amount < math.inf:
-        raise ValueError(f"workspace {name!r} may send {value!r}")
+        raise ValueError(f"workspace {name!r} has the invalid limit {value!r}")
     return amount
 
 
@@ -128,7 +129,7 @@
 def read_config(spec):
     """Return the ``RouteConfig`` in ``spec``.
 
-    Raises ``ValueError``, ``KeyError`` or ``TypeError`` where it is not one.
+    Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is invalid.
     """
     routes = [_read_route(row) for row in _read_rows(spec["routes"])]
     services = [_read_service(row) for row in _read_rows(spec["services"])]
@@ -143,11 +144,11 @@
 
 
 def read_upstream(name, spec):
-    """Return the ``Upstream`` whose entry is called ``name``.
+    """Return the ``Upstream`` that is stored under ``name``.
 
-    Anybody may write into the store, so every field that an upstream writes
-    is checked, also those that nothing here uses. Raises ``ValueError``,
-    ``KeyError`` or ``TypeError`` where the entry is not one of an upstream.
+    Anybody may write to the store, so every field that an upstream writes is
+    checked, including unused ones. Raises ``ValueError``, ``KeyError`` or
+    ``TypeError`` if the object is not that of an upstream.
     """
     _get_typed(spec, "version", str)
     _get_typed(spec, "seq", int)
@@ -164,26 +165,26 @@
 
 
 def read_vm(spec):
-    """Return the IP number and the availability zone of an entry VM.
+    """Return the IP address and the availability zone of an entry VM.
 
-    Raises as ``read_upstream`` does.
+    Raises the same exceptions as ``read_upstream``.
     """
     host = _get_typed(spec, "host", str)
     ipaddress.IPv4Address(host)
     return host, _get_typed(spec, "zone", str)
 
 
-def _get_typed(spec, name, kind):
+def _get_typed(spec, name, expected_type):
     value = spec[name]
-    # To Python a bool is a whole number.
-    if not isinstance(value, kind) or isinstance(value, bool):
-        raise TypeError(f"{name} is {value!r}")
+    # In Python, bool is a subclass of int.
+    if not isinstance(value, expected_type) or isinstance(value, bool):
+        raise TypeError(f"{name} has the wrong type: {value!r}")
     return value
 
 
 def _read_slots(number):
     if number < 1:
-        raise ValueError(f"{number} slots")
+        raise ValueError(f"{number} slots, expected at least 1")
     return number
 
 
@@ -191,5 +192,5 @@
     host, _, port = text.rpartition(":")
     ipaddress.IPv4Address(host)
     if not 0 < int(port) < 65536:
-        raise ValueError(f"{port} is no port")
+        raise ValueError(f"{port} is not a valid port")
     return host, int(port)
--- a/godwitlanding/platform/settings.py
+++ b/godwitlanding/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings file that the platform gives to each process."""
+"""Reads the settings file that the platform provides to each process."""
 
 import os
 import tomllib
@@ -12,35 +12,35 @@
 from godwitlanding.platform.units import read_seconds
 
 SETTINGS_VARIABLE = "GODWITLANDING_SETTINGS"
-# Where the platform tells none, all VMs count as alike.
+# Assumed if the platform states no link speed, so that all VMs count as equal.
 DEFAULT_LINK_MBPS = 1000.0
 
 
 class Bounds(NamedTuple):
-    """The figures that the users promise by; times in seconds."""
+    """Limits from the users' terms; times are in seconds."""
 
-    # Time from a change's acknowledgement until it must be in force.
+    # Time from the acknowledgement of a change until it must be in force.
     config_s: float
-    # From SIGTERM until the process is killed.
+    # Time from SIGTERM until the process is killed.
     stop_s: float
-    # Repeats allowed in a window: a share of the requests, and a number.
+    # Retries allowed in a window: a share of the requests plus a number.
     retry_ratio: float
     retry_window_s: float
     retry_slack: float
-    # What is tolerated beyond a workspace's allotment.
+    # Tolerated excess over a workspace's allotment.
     allotment: Tolerance
-    # Whether a VM that no change reaches must stop believing keys, and after
-    # which time.
+    # Whether a VM that receives no changes must stop accepting API keys, and
+    # after which time.
     strict_revoke: bool
     revoke_s: float
-    # Longest time for which callers keep an answer of the directory.
+    # Longest time for which callers cache a response of the directory.
     directory_ttl_s: float
 
 
 class VmSettings(NamedTuple):
-    """What a process learns of its VM and surroundings.
+    """Settings of a process: its VM, network and limits.
 
-    Addresses are pairs of IP number and port.
+    Addresses are pairs of IP address and port.
     """
 
     vm: str
@@ -48,12 +48,12 @@
     availability_zone: str
     region: str
     region_by_zone: dict[str, str]
-    # Where callers send requests, ask for addresses, and the platform asks
-    # whether the VM is ready.
+    # Listening addresses for callers' requests, the directory, and the
+    # platform's readiness checks.
     caller_address: tuple[str, int]
     directory_address: tuple[str, int]
     ready_address: tuple[str, int]
-    # First of the ports that are free for traffic between VMs.
+    # First port of the range for traffic between VMs.
     peer_port: int
     store_address: tuple[str, int]
     capacity: Capacity
@@ -64,7 +64,7 @@
 
 
 class _Reader:
-    """Takes values out of the file and gathers every mistake."""
+    """Reads values from the parsed file and collects all problems."""
 
     def __init__(self, document):
         self._document = document
@@ -89,12 +89,12 @@
 def _read_address(text):
     host, _, port = text.rpartition(":")
     if not host:
-        raise ValueError(f"{text!r} is no address with a port")
+        raise ValueError(f"{text!r} is not an address with a port")
     return host, int(port)
 
 
 def get_change_time(path):
-    """Return when the file last changed, ``None`` where it cannot be told."""
+    """Return the file's modification time in ns, ``None`` if unknown."""
     try:
         return os.stat(path).st_mtime_ns
     except OSError as error:
@@ -103,7 +103,7 @@
 
 
 def read_settings(path):
-    """Return ``Ok(VmSettings)`` or ``Err`` with a list of all mistakes."""
+    """Return ``Ok(VmSettings)`` or ``Err`` with a list of all problems."""
     try:
         with open(path, "rb") as file:
             document = tomllib.load(file)
@@ -135,7 +135,7 @@
     limits = "self.limits."
     link_mbps = reader.get_value(limits + "link_mbps", float, DEFAULT_LINK_MBPS)
     share = reader.get_value(limits + "cpu_share", float, 1.0)
-    # How many times as fast as one core the VM's is; the share is of that.
+    # Speed of the VM in cores; the CPU share is a fraction of it.
     speed = reader.get_value(limits + "cores", float, 1.0)
     if None in (link_mbps, share, speed):
         return None
--- a/godwitlanding/platform/store.py
+++ b/godwitlanding/platform/store.py
@@ -1,7 +1,8 @@
-"""The client of the platform's metadata store, behind the product's types.
+"""Client of the platform's metadata store.
 
-It calls on the gateway's own connections: aiohttp, with what it imports, took
-6.8 of the 33.7 MB of a VM and a third of the time of its start.
+It uses the gateway's HTTP connections instead of aiohttp, which with its
+dependencies took 6.8 of the 33.7 MB of a VM's memory and a third of its
+startup time.
 """
 
 import asyncio
@@ -25,10 +26,10 @@
 )
 from godwitlanding.gateway.upstream import UpstreamError, UpstreamPool
 
-# The store answers within milliseconds; at 50 to 65 times that, as its slow
-# spells are, an answer still comes within this time.
+# The store responds within milliseconds. In its slow phases it takes 50 to 65
+# times as long, which is still within this time.
 CALL_TIMEOUT_S = 1.5
-# A watch may be held back a little past its own time.
+# The response to a watch may arrive this long after the watch's own timeout.
 WATCH_GRACE_S = 1.5
 _CODE_BY_STATUS = {
     404: Code.NOT_FOUND,
@@ -39,39 +40,41 @@
 }
 
 
-# The one upstream of the pool.
+# Key of the store, the only upstream of the pool.
 _POOL_KEY = "store"
-# Rises by one each time that the store comes back from an older copy.
+# Response header; increases by one each time the store is restored from a
+# backup.
 _ERA_HEADER = b"store-era"
 
 
 class _Reply(NamedTuple):
-    """What the store has answered, and in which era."""
+    """A response of the store and the era in which it was sent."""
 
     era: int
     value: dict
 
 
 class ObjectStore:
-    """The store's calls as results; nothing here repeats a call.
+    """The platform's metadata store; its methods return a ``Result``.
 
-    After ``PLATFORM_UNAVAILABLE`` on a write the write may have taken
-    effect. Versions are made of the era and the revision of the store; one
-    of an era that is over has expired, and is no condition of a write.
+    Calls are never retried. A write that returns ``PLATFORM_UNAVAILABLE``
+    may have taken effect. Versions consist of the era and the revision of
+    the store. A version of an earlier era has expired for a watch, and a
+    write conditional on it is a conflict.
     """
 
     def __init__(self, address, counters):
         self._address = address
         self._counters = counters
         self._pool = UpstreamPool(b"")
-        # The highest that was heard of, ``None`` before the first answer.
+        # The highest era received, ``None`` before the first response.
         self._era = None
 
     async def snapshot(self, kind, allow_stale=False):
         """Return ``Ok(Snapshot)`` of all objects of a kind.
 
-        One that ``may_be_old`` is some seconds behind; it costs a tenth and
-        is not counted against the store's rate.
+        With ``allow_stale`` it may be some seconds old. It then costs a
+        tenth and does not count towards the store's rate limit.
         """
         objects = []
         version = None
@@ -81,12 +84,12 @@
             query = {"after": after} if after else {}
             if allow_stale:
                 query["stale_ok"] = "1"
-            answer = await self._call(
+            result = await self._call(
                 "old_list" if allow_stale else "list", "GET", kind, query=query
             )
-            if answer.is_err():
-                return answer
-            reply = answer.unwrap()
+            if result.is_err():
+                return result
+            reply = result.unwrap()
             if era is None:
                 era = reply.era
             if reply.era != era:
@@ -95,8 +98,8 @@
             try:
                 objects.extend(_read_objects(kind, page["items"], era))
                 if version is None:
-                    # What changes while the further pages are read is told
-                    # by a watch from here.
+                    # A watch from this version also returns the changes made
+                    # while the remaining pages are read.
                     version = make_version(era, int(page["store_revision"]))
                 more = page.get("more")
             except (KeyError, TypeError, ValueError) as error:
@@ -108,45 +111,48 @@
 
     async def get(self, kind, name):
         """Return ``Ok(StoredObject)``."""
-        answer = await self._call("get", "GET", f"{kind}/{name}")
-        return answer.map(lambda reply: _read_object(kind, reply.value, reply.era))
+        result = await self._call("get", "GET", f"{kind}/{name}")
+        return result.map(lambda reply: _read_object(kind, reply.value, reply.era))
 
     async def put(self, kind, name, value, expected_version):
-        """Write if the version is as expected (0: must not exist).
+        """Write if the version matches (0: the object must not exist).
 
         Returns ``Ok(new version)``.
         """
         metadata = {"name": name}
         body = {"metadata": metadata, "spec": orjson.loads(value)}
         if expected_version == 0:
-            answer = await self._call("create", "POST", kind, body=body)
+            result = await self._call("create", "POST", kind, body=body)
         else:
             if self._is_expired(expected_version):
                 return Err(make_refusal(Code.VERSION_CONFLICT))
             metadata["rev"] = get_revision(expected_version)
-            answer = await self._call("put", "PUT", f"{kind}/{name}", body=body)
-        return answer.and_then(self._read_written_version)
+            result = await self._call("put", "PUT", f"{kind}/{name}", body=body)
+        return result.and_then(self._read_written_version)
 
     async def delete(self, kind, name, expected_version):
-        """Delete if the version is as expected; ``Ok(version)``."""
+        """Delete if the version matches; return ``Ok(version)``."""
         if self._is_expired(expected_version):
             return Err(make_refusal(Code.VERSION_CONFLICT))
         query = {"rev": str(get_revision(expected_version))}
-        answer = await self._call("delete", "DELETE", f"{kind}/{name}", query=query)
-        return answer.map(lambda _: expected_version)
+        result = await self._call("delete", "DELETE", f"{kind}/{name}", query=query)
+        return result.map(lambda _: expected_version)
 
     async def watch(self, kind, after, timeout_s):
-        """Wait for changes of a kind; ``Ok(WatchBatch)``, maybe empty."""
+        """Wait for changes of a kind; return ``Ok(WatchBatch)``.
+
+        The batch is empty after ``timeout_s`` without a change.
+        """
         if self._is_expired(after):
             return Err(make_refusal(Code.WATCH_EXPIRED))
         revision = str(get_revision(after))
         query = {"watch": revision, "wait_ms": str(int(timeout_s * 1000))}
-        answer = await self._call("watch", "GET", kind, query, extra_s=timeout_s)
-        if answer.is_err():
-            return answer
-        reply = answer.unwrap()
+        result = await self._call("watch", "GET", kind, query, extra_s=timeout_s)
+        if result.is_err():
+            return result
+        reply = result.unwrap()
         if reply.era != get_era(after):
-            # The store may have a change of that revision again, another one.
+            # The restored store may reuse that revision for another change.
             return Err(make_refusal(Code.WATCH_EXPIRED))
         page = reply.value
         try:
@@ -161,29 +167,29 @@
         self._pool.close()
 
     async def _call(self, operation, method, path, query=None, body=None, extra_s=0.0):
-        answer = await self._send(method, path, query, body, extra_s)
-        outcome = "OK" if answer.is_ok() else answer.unwrap_err().code.name
+        result = await self._send(method, path, query, body, extra_s)
+        outcome = "OK" if result.is_ok() else result.unwrap_err().code.name
         self._counters.add("platform_calls", operation=operation, outcome=outcome)
-        return answer
+        return result
 
     async def _send(self, method, path, query, body, extra_s):
         grace_s = WATCH_GRACE_S if extra_s else CALL_TIMEOUT_S
         data = self._make_request(method, path, query, body)
         try:
             async with asyncio.timeout(extra_s + grace_s):
-                answer = await self._exchange(data)
+                response = await self._exchange(data)
         except (UpstreamError, TimeoutError) as error:
             return _make_unavailable(repr(error))
-        era = _read_era(answer)
+        era = _read_era(response)
         self._update_era(era)
-        if answer.status in (200, 201):
+        if response.status in (200, 201):
             try:
-                value = _read_json(answer.body) if answer.body else {}
+                value = _read_json(response.body) if response.body else {}
                 return Ok(_Reply(era, value))
             except (ValueError, RecursionError) as error:
                 return _make_unavailable(f"answer cannot be read: {error!r}")
-        code = _CODE_BY_STATUS.get(answer.status, Code.PLATFORM_UNAVAILABLE)
-        return Err(make_refusal(code, detail=f"answered {answer.status}"))
+        code = _CODE_BY_STATUS.get(response.status, Code.PLATFORM_UNAVAILABLE)
+        return Err(make_refusal(code, detail=f"answered {response.status}"))
 
     def _update_era(self, era):
         if self._era is not None and era <= self._era:
@@ -203,7 +209,7 @@
         return self._era is not None and get_era(version) < self._era
 
     async def _exchange(self, data):
-        """Send a request and return its answer."""
+        """Send a request and return its response."""
         connection = self._pool.take(_POOL_KEY, True)
         if connection is None:
             connection = await self._pool.connect(
@@ -211,14 +217,14 @@
             )
         is_whole = False
         try:
-            answer = await connection.send(data, b"", False)
+            response = await connection.send(data, b"", False)
             is_whole = True
         finally:
             if not is_whole:
-                # What may still come on it belongs to no other call.
+                # A late response must not be taken for that of another call.
                 connection.abort()
         self._pool.give_back(_POOL_KEY, connection)
-        return answer
+        return response
 
     def _make_request(self, method, path, query, body):
         host, port = self._address
@@ -236,18 +242,18 @@
     return Err(make_refusal(Code.PLATFORM_UNAVAILABLE, detail=detail))
 
 
-def _read_era(answer):
-    text = answer.get_header(_ERA_HEADER)
+def _read_era(response):
+    text = response.get_header(_ERA_HEADER)
     return int(text) if text.isdigit() else 0
 
 
 def _read_json(text):
-    """Return a body as objects; raises ``ValueError`` or ``RecursionError``.
+    """Parse a body; raise ``ValueError`` or ``RecursionError``.
 
-    A list holds what anybody wrote. One entry with bytes that are no text,
-    half of a surrogate pair or a number beyond 64 bits makes the strict
-    parser refuse the whole list, and every VM would keep what it knew before
-    for as long as that entry stands; the lenient one reads the others.
+    Anybody may write to the store. One object with invalid UTF-8, half of a
+    surrogate pair or a number beyond 64 bits makes the strict parser reject
+    the whole list, and no VM would receive updates while that object exists.
+    The lenient parser reads the other objects.
     """
     try:
         return orjson.loads(text)
@@ -271,10 +277,10 @@
 
 
 def _read_object(kind, item, era):
-    """Return the ``StoredObject``, ``None`` for one without a name.
+    """Return the ``StoredObject``, ``None`` if it has no name.
 
-    What it holds may be nothing that can be read; then its value is empty,
-    so that the object is known to be there and to say nothing.
+    If its content cannot be encoded, the value is empty, so that the object
+    is known to exist but to be unreadable.
     """
     try:
         metadata = item["metadata"]
--- a/godwitlanding/program.py
+++ b/godwitlanding/program.py
@@ -1,8 +1,7 @@
-"""The services of an entry VM on the users' platform, joined into a process.
+"""Assembles the process of an entry VM on the users' platform.
 
-Joins the gateway's services with the platform's names and formats; nothing
-else of the product knows of the platform. ``godwitlanding.vm`` is its
-command.
+Connects the gateway's services with the platform's names and formats; no
+other module depends on the platform. The command is ``godwitlanding.vm``.
 """
 
 import asyncio
@@ -61,17 +60,18 @@
 EXIT_OK = 0
 EXIT_FAILED = 1
 METRICS_PATH = "/metrics"
-# Nothing in the settings has to be in force sooner than a configuration.
+# Changed settings need not be in force sooner than a changed configuration.
 SETTINGS_POLL_S = 1.0
-# Each line is written at once; this is for what a slow reader did not take.
+# Log lines are written immediately; this flushes those that the pipe of a slow
+# reader did not accept.
 FLUSH_INTERVAL_S = 0.5
 _DECODE_ERRORS = (ValueError, LookupError, TypeError, AttributeError, ArithmeticError)
 
 
 class Program:
-    """The services of one process and what they share.
+    """The services of one process and their shared state.
 
-    ``pool`` opens the connections to upstreams; by default an
+    ``pool`` opens the connections to upstreams; the default is an
     ``UpstreamPool``.
     """
 
@@ -169,10 +169,10 @@
         self.front.needs += ("directory", "readiness", "metrics", "presence", "reader")
 
     def _make_mirrors(self):
-        # Of the lists that a VM reads as it starts, two must be fresh: that of
-        # the VMs, as all start at once and would not know of each other, and
-        # the configuration, as a route that is missing there is refused. The
-        # rest is made good by neighbours within moments.
+        # Two of the lists that a VM reads at startup must not be stale: the
+        # VMs, because all VMs start at the same time and would not know each
+        # other, and the configuration, because requests for a missing route
+        # are refused. The other lists are updated by neighbours soon after.
         upstream_mirror = self._make_mirror(
             UPSTREAM_KIND,
             self._apply_upstream,
@@ -195,7 +195,7 @@
         ]
 
     def make_services(self):
-        """Return every service of the process."""
+        """Return all services of the process."""
         return [
             self.registry,
             self.peers,
@@ -230,7 +230,7 @@
         return Mirror(self.store, kind, apply, **keywords)
 
     def apply_settings(self, settings):
-        """Put changed settings in force; addresses change by a restart."""
+        """Apply changed settings; changed addresses need a restart."""
         self._settings = settings
         bounds = settings.bounds
         self.budget.set_bounds(
@@ -242,7 +242,7 @@
         self.front.stop_s = bounds.stop_s
 
     def is_ready(self):
-        """Tell whether callers should be sent here."""
+        """Return whether callers should be directed to this VM."""
         if not self.front.is_listening() or self.peers.leaving:
             return False
         return self.registry.is_complete()
@@ -265,7 +265,7 @@
         try:
             config = read_config(orjson.loads(value))
         except _DECODE_ERRORS as error:
-            # The last good configuration stays in force.
+            # The last valid configuration stays in force.
             _log_unreadable(CONFIG_KIND, name, version, error)
             return
         self.registry.set_config(config)
@@ -277,8 +277,8 @@
         try:
             upstream = read_upstream(name, orjson.loads(value))
         except _DECODE_ERRORS as error:
-            # Somebody else wrote over it: whatever is at the address now,
-            # nothing tells that it is the upstream it was.
+            # The object was overwritten by something else, so the address may
+            # no longer belong to the upstream.
             _log_unreadable(UPSTREAM_KIND, name, version, error)
             self.registry.remove_upstream(name)
             return
@@ -324,7 +324,7 @@
 
 
 async def run(settings, changed_at, arguments, stream, counters):
-    """Serve until the process is told to stop."""
+    """Run the services until the process receives a stop signal."""
     path = arguments.settings
     program = Program(settings, arguments.metrics_port, counters)
     kernel = Kernel(program.make_services())
@@ -342,7 +342,7 @@
 
 
 def reload(program, path, reason):
-    """Read the settings again; mistakes leave the former ones in force."""
+    """Reload the settings; if they are invalid, keep the former ones."""
     read = read_settings(path)
     if read.is_err():
         log_message(
@@ -357,7 +357,7 @@
 
 
 async def _reload_when_changed(program, path, former):
-    # The file may change without a signal.
+    # Detects a change of the file that is not signalled by SIGHUP.
     while True:
         await asyncio.sleep(SETTINGS_POLL_S)
         changed = get_change_time(path)
@@ -373,9 +373,10 @@
 
 
 def run_program(settings, changed_at, arguments):
-    """Run until the process is told to stop; return its exit code.
+    """Run until the process receives a stop signal; return the exit code.
 
-    ``changed_at`` is the change time of the file that was read.
+    ``changed_at`` is the modification time of the settings file when it was
+    read.
     """
     counters = Counters(make_meter(settings.vm, ROLE))
     stream = set_up_log_stream(settings.vm, ROLE, time.monotonic, counters)
--- a/godwitlanding/steer.py
+++ b/godwitlanding/steer.py
@@ -1,4 +1,4 @@
-"""``godwit-steer``: tells callers which entry VMs to use; issues tickets."""
+"""``godwit-steer``: directs callers to entry VMs and issues tickets."""
 
 import sys
 
--- a/godwitlanding/tests/base/__init__.py
+++ b/godwitlanding/tests/base/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what every program stands on."""
+"""Tests of the modules shared by all programs."""
--- a/godwitlanding/tests/base/test_config.py
+++ b/godwitlanding/tests/base/test_config.py
@@ -1,4 +1,4 @@
-"""Mistakes in the operators' text and in settings are all found at once."""
+"""Tests of parsing and validating the configuration text and the settings."""
 
 import pytest
 
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "code", "line", "words"),
+    ("old", "new", "code", "line", "expected_text"),
     [
         ("format: 1,", "format: ,", Code.CONFIG_SYNTAX, 3, "JSON5"),
         ("format: 1,", "", Code.CONFIG_MISSING_KEY, 0, "integer"),
--- a/godwitlanding/tests/base/test_foundation.py
+++ b/godwitlanding/tests/base/test_foundation.py
@@ -1,4 +1,4 @@
-"""The parts that every daemon stands on."""
+"""Tests of the result codes, the kernel, the messages and the replica."""
 
 import pytest
 
@@ -9,21 +9,21 @@
 
 
 class Recorder(Service):
-    """A service that writes down when it starts and stops."""
+    """A service that records its starts and stops in ``calls``."""
 
-    def __init__(self, name, needs=(), journal=None, fails=False):
+    def __init__(self, name, needs=(), calls=None, fails=False):
         self.name = name
         self.needs = needs
-        self.journal = journal if journal is not None else []
+        self.calls = calls if calls is not None else []
         self.fails = fails
 
     async def start(self, kernel):
         if self.fails:
             raise OSError("cannot listen")
-        self.journal.append(f"+{self.name}")
+        self.calls.append(f"+{self.name}")
 
     async def stop(self):
-        self.journal.append(f"-{self.name}")
+        self.calls.append(f"-{self.name}")
 
 
 def test_every_code_has_a_row():
@@ -31,28 +31,31 @@
 
 
 async def test_services_start_and_stop_in_dependency_order():
-    journal = []
-    kernel = Kernel([Recorder("b", ("a",), journal), Recorder("a", (), journal)])
+    calls = []
+    kernel = Kernel([Recorder("b", ("a",), calls), Recorder("a", (), calls)])
     await kernel.start()
     await kernel.stop()
-    assert journal == ["+a", "+b", "-b", "-a"]
+    assert calls == ["+a", "+b", "-b", "-a"]
 
 
 async def test_failed_start_stops_the_started_services():
-    journal = []
-    broken = Recorder("b", ("a",), journal, fails=True)
-    kernel = Kernel([Recorder("a", (), journal), broken])
+    calls = []
+    broken = Recorder("b", ("a",), calls, fails=True)
+    kernel = Kernel([Recorder("a", (), calls), broken])
     with pytest.raises(OSError):
         await kernel.start()
-    assert journal == ["+a", "-a"]
+    assert calls == ["+a", "-a"]
 
 
 @pytest.mark.parametrize(
-    ("services", "words"),
+    ("services", "expected_text"),
     [
         ([Recorder("a"), Recorder("a")], "two services"),
         ([Recorder("a", ("b",))], "no service"),
-        ([Recorder("a", ("b",)), Recorder("b", ("a",))], "need each other"),
+        (
+            [Recorder("a", ("b",)), Recorder("b", ("a",))],
+            "circular dependency of services",
+        ),
     ],
 )
 def test_kernel_rejects_invalid_services(services, expected_text):
@@ -71,11 +74,12 @@
     assert decode(encode(envelope)) == envelope
 
 
-@pytest.mark.parametrize(("offered", "taken"), [(6, False), (7, False), (8, True)])
+@pytest.mark.parametrize(("offered", "accepted"), [(6, False), (7, False), (8, True)])
 def test_replica_keeps_the_highest_version(offered, accepted):
-    """A peer that was cut off offers the version it last saw.
+    """Guards against an outdated version that replaces a newer one.
 
-    Users would notice a change that they had seen in force disappear.
+    A peer that was disconnected offers the last version that it received.
+    Users would see a change disappear that had already been in force.
     """
     replica = Replica()
     replica.offer(State("config", "main", 7, b"seven"))
--- a/godwitlanding/tests/base/test_store.py
+++ b/godwitlanding/tests/base/test_store.py
@@ -1,4 +1,4 @@
-"""The contract of the platform's object API, for the fake and over HTTP."""
+"""Contract tests of the object API, for the fake store and the HTTP client."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class FakeHarness:
-    """Turns the fake's switches."""
+    """Controls the faults of ``FakeStore``."""
 
     def __init__(self):
         self.store = FakeStore(timeout_s=0.2)
@@ -44,7 +44,7 @@
 
 
 class HttpHarness:
-    """Turns the switches of the stand-in over HTTP."""
+    """Controls the faults of the platform stand-in over HTTP."""
 
     def __init__(self):
         self.store = HttpStore(URL, timeout_s=0.5)
@@ -56,12 +56,12 @@
         return self
 
     async def set_faults(self, **faults):
-        async with self._session.put("/standin/faults", json=faults) as answer:
-            assert answer.status == 200
+        async with self._session.put("/standin/faults", json=faults) as response:
+            assert response.status == 200
 
     async def set_vms(self, row):
-        async with self._session.put("/standin/vms", json={"vms": [row]}) as answer:
-            assert answer.status == 200
+        async with self._session.put("/standin/vms", json={"vms": [row]}) as response:
+            assert response.status == 200
 
     async def write_then_restore(self, write):
         async with self._session.post("/standin/snapshot"):
@@ -121,8 +121,8 @@
 )
 async def test_refused_calls(harness, operation, arguments, code):
     written = await harness.store.put("config", "main", b"one", 0)
-    answer = await getattr(harness.store, operation)(*arguments)
-    assert answer.unwrap_err().code is code
+    result = await getattr(harness.store, operation)(*arguments)
+    assert result.unwrap_err().code is code
     kept = (await harness.store.get("config", "main")).unwrap()
     assert kept.version == written.unwrap()
 
@@ -180,21 +180,21 @@
     ],
 )
 async def test_outage_fails_every_call(harness, operation, arguments):
-    """The platform is down for a while.
+    """During an outage every call fails, and calls work again after it.
 
-    Operators notice that nothing can be applied; what runs goes on.
+    Operators cannot apply changes meanwhile; running work continues.
     """
     await harness.set_faults(outage="refuse")
-    answer = await getattr(harness.store, operation)(*arguments)
-    assert answer.unwrap_err().code is Code.PLATFORM_UNAVAILABLE
+    result = await getattr(harness.store, operation)(*arguments)
+    assert result.unwrap_err().code is Code.PLATFORM_UNAVAILABLE
     await harness.set_faults(outage="none")
     assert (await harness.store.list("config")).unwrap() == ()
 
 
 async def test_waiting_watch_fails_when_an_outage_begins(harness):
-    """The platform goes down while a member waits for a change.
+    """Guards against a watch that does not notice an outage.
 
-    A wait that went on would miss that the platform is away at all.
+    The platform goes down while a member waits for a change.
     """
     version = (await harness.store.put("config", "main", b"one", 0)).unwrap()
     watch = asyncio.ensure_future(harness.store.watch("config", version, 30.0))
@@ -204,26 +204,26 @@
 
 
 async def test_write_with_a_lost_response_has_taken_effect(harness):
-    """The connection breaks after the platform has done a write.
+    """The connection breaks after the platform has executed a write.
 
-    The writer is told that the platform is away and finds its write there
-    when it reads back.
+    The writer gets PLATFORM_UNAVAILABLE and finds its write when it reads
+    the object again.
     """
     await harness.store.list("config")
     await harness.set_faults(lost_answers=1)
-    answer = await harness.store.put("config", "main", b"one", 0)
-    assert answer.unwrap_err().code is Code.PLATFORM_UNAVAILABLE
+    result = await harness.store.put("config", "main", b"one", 0)
+    assert result.unwrap_err().code is Code.PLATFORM_UNAVAILABLE
     assert (await harness.store.get("config", "main")).unwrap().value == b"one"
 
 
 async def test_slow_write_takes_effect_after_its_timeout(harness):
-    """The platform is so slow that the writer gives up first.
+    """The platform is so slow that the write times out first.
 
-    Its write takes effect later, when another may already have been sent.
+    The write takes effect later, possibly after another one has been sent.
     """
     await harness.set_faults(delay_s=1.0)
-    answer = await harness.store.put("config", "main", b"one", 0)
-    assert answer.unwrap_err().code is Code.PLATFORM_UNAVAILABLE
+    result = await harness.store.put("config", "main", b"one", 0)
+    assert result.unwrap_err().code is Code.PLATFORM_UNAVAILABLE
     await harness.set_faults()
     batch = await harness.store.watch("config", 0, 0.1)
     for _ in range(100):
@@ -237,14 +237,15 @@
 
 async def test_rate_limit_refuses_writes(harness):
     await harness.set_faults(writes_per_s=0)
-    answer = await harness.store.put("config", "main", b"one", 0)
-    assert answer.unwrap_err().code is Code.RATE_LIMITED
+    result = await harness.store.put("config", "main", b"one", 0)
+    assert result.unwrap_err().code is Code.RATE_LIMITED
 
 
 async def test_watch_from_a_version_lost_by_a_restore_has_expired(harness):
-    """The platform comes back from a backup that misses the last writes.
+    """Guards against watches that wait forever after a restore.
 
-    Members that go on from the version they know would wait for ever.
+    The platform is restored from a backup without the last writes, and a
+    member continues to watch from a version that no longer exists.
     """
     store = harness.store
     newest = []
@@ -253,8 +254,8 @@
         newest.append((await store.put("config", "main", b"one", 0)).unwrap())
 
     await harness.write_then_restore(write)
-    answer = await store.watch("config", newest[0], 0.1)
-    assert answer.unwrap_err().code is Code.WATCH_EXPIRED
+    result = await store.watch("config", newest[0], 0.1)
+    assert result.unwrap_err().code is Code.WATCH_EXPIRED
     assert (await store.get("config", "main")).unwrap_err().code is Code.NOT_FOUND
 
 
@@ -270,7 +271,7 @@
             lost.append((await store.put("plan", name, b"lost", 0)).unwrap())
 
     await harness.write_then_restore(write)
-    # What the copy holds keeps its version.
+    # Objects in the backup keep their versions.
     assert (await store.get("plan", "main")).unwrap().version == kept
     for number in range(writes):
         written = (await store.put("plan", f"new-{number}", b"new", 0)).unwrap()
@@ -290,13 +291,13 @@
     "body", [b"", b"[]", b"{}", b'{"objects": [{"name": 1}]}', b"\xff"]
 )
 async def test_unreadable_response_is_an_error(body):
-    """A proxy or a new version of the platform answers something else."""
+    """A proxy or a new version of the platform sends an invalid body."""
 
-    async def answer(scope, receive, send):
+    async def respond(scope, receive, send):
         await send({"type": "http.response.start", "status": 200})
         await send({"type": "http.response.body", "body": body})
 
-    listener = Listener(answer, HOST, PORT)
+    listener = Listener(respond, HOST, PORT)
     await listener.start()
     store = HttpStore(URL, timeout_s=1.0)
     calls = [store.list("config"), store.get("config", "main"), store.list_vms()]
--- a/godwitlanding/tests/base/test_tasks.py
+++ b/godwitlanding/tests/base/test_tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks end when they are told to."""
+"""Tests of background tasks: cancellation and logged failures."""
 
 import asyncio
 
@@ -8,32 +8,33 @@
 from godwitlanding.base.tasks import Tasks, end_tasks, start_task
 
 
-async def wait_repeatedly(answered, rounds):
-    """Wait for answers as the loops of services do."""
+async def wait_repeatedly(result_available, rounds):
+    """Wait for results repeatedly, like the loops of services."""
     while True:
-        await asyncio.wait_for(answered.wait(), 1000)
-        answered.clear()
+        await asyncio.wait_for(result_available.wait(), 1000)
+        result_available.clear()
         rounds.append(1)
 
 
 async def run_until_result(tasks):
-    """Run a loop whose answer comes just before it is cancelled."""
-    answered = asyncio.Event()
+    """Run a loop whose result arrives just before it is cancelled."""
+    result_available = asyncio.Event()
     rounds = []
-    task = tasks.run(wait_repeatedly(answered, rounds))
+    task = tasks.run(wait_repeatedly(result_available, rounds))
     await asyncio.sleep(1)
-    answered.set()
-    # The inner wait ends here, the loop itself has not run on yet.
+    result_available.set()
+    # Lets the inner wait finish; the loop itself has not resumed yet.
     await asyncio.sleep(0)
     return task, rounds
 
 
 @pytest.mark.looptime
 async def test_stop_ends_a_task_whose_cancellation_was_lost():
-    """A loop is told to stop in the moment in which its answer arrives.
+    """Guards against a stop that never ends.
 
-    asyncio.wait_for then returns the answer and the cancellation is lost:
-    the loop would go on, and a planned stop would never come to its end.
+    If a loop is cancelled at the moment at which its result arrives,
+    asyncio.wait_for returns the result, the cancellation is lost, and the
+    loop continues.
     """
     tasks = Tasks()
     task, rounds = await run_until_result(tasks)
@@ -44,7 +45,7 @@
 
 @pytest.mark.looptime
 async def test_one_of_several_tasks_is_ended():
-    """A member that watches no longer must not go on watching unseen."""
+    """Guards against a watch that continues after its member has ended it."""
     tasks = Tasks()
     other = tasks.run(asyncio.sleep(10_000))
     task, _ = await run_until_result(tasks)
@@ -61,14 +62,14 @@
 
 @pytest.mark.parametrize("fails", [True, False])
 async def test_failure_of_a_referenced_task_is_logged(fails):
-    # Guards against a loop that ends unnoticed.
+    # Guards against a loop that fails without being noticed.
     async def run():
         if fails:
-            raise ValueError("odd")
+            raise ValueError("failed")
 
     logged = []
     add_destinations(logged.append)
-    # The first destination is handed what earlier tests have logged.
+    # eliot passes the messages of earlier tests to the first destination.
     logged.clear()
     try:
         task = start_task(run())
--- a/godwitlanding/tests/base/test_wire.py
+++ b/godwitlanding/tests/base/test_wire.py
@@ -1,4 +1,4 @@
-"""Calls between our processes, and what breaks them."""
+"""Tests of remote calls between processes, and of their failures."""
 
 import asyncio
 import struct
@@ -34,7 +34,7 @@
 
 
 class Harness:
-    """A server with one handler, and a pool that calls it."""
+    """A server with one handler, and a pool to call it."""
 
     def __init__(self, handler):
         self.counters = Counters()
@@ -65,39 +65,40 @@
 
 
 async def test_out_of_order_responses_match_their_calls():
-    """A slow question is overtaken by quick ones on the same connection.
+    """Guards against responses that are delivered to the wrong call.
 
-    Were answers matched by order, callers would get each other's answers.
+    A slow call is overtaken by quick ones on the same connection, so the
+    responses do not arrive in the order of the calls.
     """
     release = asyncio.Event()
 
-    async def answer(channel, message):
+    async def handle(channel, message):
         if message.name == "slow":
             await release.wait()
         return await _echo(channel, message)
 
-    async with Harness(answer) as harness:
+    async with Harness(handle) as harness:
         slow = asyncio.ensure_future(harness.call(Fetch("k", "slow")))
         names = [f"quick-{number}" for number in range(20)]
-        answers = await asyncio.gather(*(harness.call(Fetch("k", n)) for n in names))
-        assert [a.unwrap().name for a in answers] == names
+        results = await asyncio.gather(*(harness.call(Fetch("k", n)) for n in names))
+        assert [a.unwrap().name for a in results] == names
         release.set()
         assert (await slow).unwrap().name == "slow"
 
 
 async def test_response_after_its_timeout_is_dropped():
-    """The peer answers after the caller has stopped waiting.
+    """Guards against a late response that is taken for that of the next call.
 
-    Were it kept, the next call could take it for its own answer.
+    The peer responds after the call has timed out.
     """
     release = asyncio.Event()
 
-    async def answer(channel, message):
+    async def handle(channel, message):
         if message.name == "late":
             await release.wait()
         return await _echo(channel, message)
 
-    async with Harness(answer) as harness:
+    async with Harness(handle) as harness:
         late = await harness.call(Fetch("k", "late"), 0.01)
         assert late.unwrap_err().code is Code.CALL_TIMEOUT
         release.set()
@@ -117,10 +118,10 @@
     ],
 )
 async def test_invalid_bytes_close_only_their_connection(sent, code):
-    """Something that is not our protocol talks to the internal port.
+    """The internal port receives data of another protocol.
 
     A port scanner or an older version must neither end the process nor
-    disturb the peers that it serves.
+    affect the connections of other peers.
     """
     async with Harness(_echo) as harness:
         reader, writer = await harness.dial()
@@ -134,17 +135,17 @@
 async def test_protocol_mismatch_is_reported_to_the_peer():
     async with Harness(_echo) as harness:
         other = Pool(HELLO._replace(protocol=99), {}, Counters())
-        answer = await other.call(harness.address, Fetch("k", "x"), TIMEOUT_S)
-        assert answer.unwrap_err().code is Code.PROTOCOL_MISMATCH
+        result = await other.call(harness.address, Fetch("k", "x"), TIMEOUT_S)
+        assert result.unwrap_err().code is Code.PROTOCOL_MISMATCH
 
 
 async def test_handler_exception_becomes_a_failure_response():
-    async def answer(channel, message):
+    async def handle(channel, message):
         if message.name == "bad":
             raise KeyError("bad")
         return await _echo(channel, message)
 
-    async with Harness(answer) as harness:
+    async with Harness(handle) as harness:
         failed = await harness.call(Fetch("k", "bad"))
         assert failed.unwrap_err().code is Code.HANDLER_FAILED
         assert (await harness.call(Fetch("k", "good"))).is_ok()
@@ -152,28 +153,28 @@
 
 async def test_message_without_a_handler_is_refused():
     async with Harness(_echo) as harness:
-        answer = await harness.call(Withdraw("s", "r"))
-        assert answer.unwrap_err().code is Code.UNEXPECTED_MESSAGE
+        result = await harness.call(Withdraw("s", "r"))
+        assert result.unwrap_err().code is Code.UNEXPECTED_MESSAGE
 
 
 async def test_open_calls_fail_at_once_when_the_connection_breaks():
-    """The peer dies with calls open.
+    """Guards against calls that wait for their whole timeout.
 
-    Their callers must not wait for the whole timeout, or a zone's requests
-    would stand still for that long after each death.
+    The peer crashes with calls open; the requests of a zone would be delayed
+    by the timeout after each crash.
     """
     reached = asyncio.Event()
 
-    async def answer(channel, message):
+    async def handle(channel, message):
         reached.set()
         await asyncio.sleep(3600)
 
-    async with Harness(answer) as harness:
+    async with Harness(handle) as harness:
         call = asyncio.ensure_future(harness.call(Fetch("k", "x"), 3600.0))
         await reached.wait()
         await harness.server.stop()
-        answer = await asyncio.wait_for(call, TIMEOUT_S)
-        assert answer.unwrap_err().code is Code.PEER_UNREACHABLE
+        result = await asyncio.wait_for(call, TIMEOUT_S)
+        assert result.unwrap_err().code is Code.PEER_UNREACHABLE
 
 
 async def test_pool_reconnects_after_a_break():
@@ -188,20 +189,20 @@
 
 
 async def test_unknown_failure_code_of_a_newer_peer_is_mapped():
-    async def answer(channel, message):
+    async def handle(channel, message):
         return Failure(9999, "from the future")
 
-    async with Harness(answer) as harness:
+    async with Harness(handle) as harness:
         failed = await harness.call(Fetch("k", "x"))
         assert failed.unwrap_err().code is Code.HANDLER_FAILED
         assert failed.unwrap_err().detail == "from the future"
 
 
-@pytest.mark.parametrize("greets", [True, False])
+@pytest.mark.parametrize("sends_hello", [True, False])
 async def test_stop_leaves_no_reading_task(sends_hello):
-    # A VM stops as planned while neighbours hold connections to it. What still
-    # reads then is cancelled with the loop, and its end is printed as an error
-    # that nobody expected, among the lines that an engineer looks through.
+    # Guards against unexpected errors in the log after a planned stop while
+    # neighbours are connected: a task that is still reading is cancelled with
+    # the event loop, which asyncio prints as an error.
     async with Harness(_echo) as harness:
         before = asyncio.all_tasks()
         reader, writer = await harness.dial()
--- a/godwitlanding/tests/conftest.py
+++ b/godwitlanding/tests/conftest.py
@@ -1,6 +1,6 @@
-"""Passes over the tests of ``KNOWN-RED.txt``, exactly these, and prints them.
+"""Deselects exactly the tests listed in ``KNOWN-RED.txt`` and prints them.
 
-``--known-red`` runs them all the same.
+With ``--known-red`` they are run as well.
 """
 
 from godwitlanding.tests.known_red import read_known_red
--- a/godwitlanding/tests/gateway/test_platform_store.py
+++ b/godwitlanding/tests/gateway/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The contract of the platform's store, and each way in which it fails."""
+"""Contract tests of the client of the platform's store, and of its faults."""
 
 import asyncio
 
@@ -46,7 +46,7 @@
     assert snapshot.version == standin.revision
 
 
-@pytest.mark.parametrize("may_be_old", [False, True])
+@pytest.mark.parametrize("allow_stale", [False, True])
 async def test_only_a_stale_list_sends_stale_ok(store, standin, allow_stale):
     await standin.put(KIND, "a", {})
     assert (await store.snapshot(KIND, allow_stale)).is_ok()
@@ -70,11 +70,11 @@
 async def test_write_from_another_version_is_refused(
     store, standin, expected_version, code
 ):
-    # Two processes write the same object. The one that does not know of the
-    # other's write would undo it.
+    # Guards against a lost update: two processes write the same object, and
+    # one of them does not know the other's write.
     await standin.put(KIND, "a", {"x": 1})
-    answer = await store.put(KIND, "a", b'{"x":2}', expected_version)
-    assert answer.unwrap_err().code is code
+    result = await store.put(KIND, "a", b'{"x":2}', expected_version)
+    assert result.unwrap_err().code is code
     assert standin.get_spec(KIND, "a") == {"x": 1}
 
 
@@ -92,8 +92,8 @@
 async def test_failed_call_returns_an_error_within_its_timeout(
     store, standin, faults, code, call, monkeypatch
 ):
-    # The store is away in one of the ways in which it can be. A call that
-    # waited for ever, or raised, would end what keeps this VM in step.
+    # Guards against a call that waits forever or raises while the store is
+    # unavailable; either would end the loop that keeps the VM up to date.
     monkeypatch.setattr(platform_store, "CALL_TIMEOUT_S", 0.2)
     monkeypatch.setattr(platform_store, "WATCH_GRACE_S", 0.2)
     await standin.put(KIND, "a", {})
@@ -105,18 +105,18 @@
         "watch": (KIND, 1, 0.1),
     }[call]
     async with asyncio.timeout(2):
-        answer = await getattr(store, call)(*arguments)
-    assert answer.unwrap_err().code is code
+        result = await getattr(store, call)(*arguments)
+    assert result.unwrap_err().code is code
 
 
 async def test_write_with_a_lost_response_is_reported_as_failed(store, standin):
-    # The write is done and its answer is lost. The writer cannot know; when
-    # it writes again it is told of its own object.
+    # The write is executed and its response is lost. The writer cannot know
+    # this; when it repeats the write, its own object causes a conflict.
     standin.faults.lose_answers = 1
-    answer = await store.put(KIND, "a", b'{"x":1}', 0)
-    assert answer.unwrap_err().code is Code.PLATFORM_UNAVAILABLE
-    answer = await store.put(KIND, "a", b'{"x":1}', 0)
-    assert answer.unwrap_err().code is Code.VERSION_CONFLICT
+    result = await store.put(KIND, "a", b'{"x":1}', 0)
+    assert result.unwrap_err().code is Code.PLATFORM_UNAVAILABLE
+    result = await store.put(KIND, "a", b'{"x":1}', 0)
+    assert result.unwrap_err().code is Code.VERSION_CONFLICT
     assert (await store.get(KIND, "a")).unwrap().value == b'{"x":1}'
 
 
@@ -130,8 +130,8 @@
     await standin.put(KIND, "b", {})
     if forget:
         await standin.forget_history()
-    answer = await store.watch(KIND, 1, 0.1)
-    assert (answer.unwrap_err().code if answer.is_err() else None) is code
+    result = await store.watch(KIND, 1, 0.1)
+    assert (result.unwrap_err().code if result.is_err() else None) is code
 
 
 async def test_interrupted_watch_is_an_error(store, standin):
@@ -143,8 +143,8 @@
 
 async def test_unreachable_store_is_an_error(store, standin):
     standin.crash()
-    answer = await store.snapshot(KIND)
-    assert answer.unwrap_err().code is Code.PLATFORM_UNAVAILABLE
+    result = await store.snapshot(KIND)
+    assert result.unwrap_err().code is Code.PLATFORM_UNAVAILABLE
 
 
 async def test_versions_grow_when_the_store_is_restored(store, standin):
@@ -166,7 +166,8 @@
 async def test_watch_from_a_version_lost_by_a_restore_has_expired(
     store, standin, since, is_known
 ):
-    # The store has the revision again, of another change, or not yet.
+    # The restored store has reused the revision for another change, or has not
+    # reached it yet.
     copy = standin.take_copy()
     await standin.put(KIND, "lost", {})
     watched_from = (await store.snapshot(KIND)).unwrap().version
@@ -175,23 +176,23 @@
         await standin.put(KIND, f"n{number}", {})
     if is_known:
         await store.get(KIND, "lost")
-    answer = await store.watch(KIND, watched_from, 0.1)
-    assert answer.unwrap_err().code is Code.WATCH_EXPIRED
+    result = await store.watch(KIND, watched_from, 0.1)
+    assert result.unwrap_err().code is Code.WATCH_EXPIRED
 
 
 @pytest.mark.parametrize("operation", ["put", "delete"])
 async def test_write_conditional_on_a_lost_version_conflicts(store, standin, operation):
-    # The store has given the revision out again, to another's write.
+    # The restored store has reused the revision for another process's write.
     copy = standin.take_copy()
     version = (await store.put(KIND, "a", b'{"own":1}', 0)).unwrap()
     await standin.come_back(copy)
     await standin.put(KIND, "a", {"foreign": 1})
     assert (await store.get(KIND, "a")).unwrap().version != version
     if operation == "put":
-        answer = await store.put(KIND, "a", b'{"own":2}', version)
+        result = await store.put(KIND, "a", b'{"own":2}', version)
     else:
-        answer = await store.delete(KIND, "a", version)
-    assert answer.unwrap_err().code is Code.VERSION_CONFLICT
+        result = await store.delete(KIND, "a", version)
+    assert result.unwrap_err().code is Code.VERSION_CONFLICT
     assert standin.get_spec(KIND, "a") == {"foreign": 1}
 
 
--- a/godwitlanding/tests/known_red.py
+++ b/godwitlanding/tests/known_red.py
@@ -1,7 +1,7 @@
-"""The tests that ``KNOWN-RED.txt`` lists as failing for a real fault.
+"""Reads ``KNOWN-RED.txt``, the list of tests that fail for a known fault.
 
-Each entry is a line that begins with a test, as pytest names it in the
-folder of the tests, and goes on behind a colon and a space.
+Each entry is a line that starts with a pytest node id relative to the tests
+folder, followed by a colon, a space and a description.
 """
 
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 def read_known_red():
-    """Return the names of the tests that are known to fail."""
+    """Return the node ids of the tests that are known to fail."""
     if not PAGE.exists():
         return set()
     lines = PAGE.read_text().splitlines()
--- a/godwitlanding/tests/support.py
+++ b/godwitlanding/tests/support.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces, shared by the tests."""
+"""Fake of the platform's object store, shared by the tests."""
 
 import asyncio
 from collections import Counter
@@ -18,24 +18,24 @@
 
 
 class FakeStore:
-    """The platform's object API in memory, with faults on request.
+    """In-memory implementation of the platform's object API with faults.
 
     ``delay_s``
-        time each call takes; above ``timeout_s`` the call is answered
-        PLATFORM_UNAVAILABLE after ``timeout_s`` and a write takes effect
-        later all the same.
+        duration of each call; if it exceeds ``timeout_s``, the call returns
+        PLATFORM_UNAVAILABLE after ``timeout_s``, and a write still takes
+        effect later.
     ``lost_answers``
-        that many of the next writes take effect and are answered
+        number of following writes that take effect but return
         PLATFORM_UNAVAILABLE.
     ``rate_limited``
-        every call but a waiting watch is answered RATE_LIMITED.
+        every call except a waiting watch returns RATE_LIMITED.
     ``before_call``
-        a coroutine function ``(operation, kind, name)`` that runs first,
-        to pause a call or to change something under it.
+        a coroutine function ``(operation, kind, name)`` that is awaited
+        before each call, to delay it or to change the store.
     ``calls``
-        counts by operation: get, list, put, delete, watch, list_vms.
-    ``most_waiting``
-        most watches that ever waited at once.
+        call counts by operation: get, list, put, delete, watch, list_vms.
+    ``max_waiting_watches``
+        highest number of watches that waited at the same time.
 
     >>> store = FakeStore()
     >>> (await store.put("config", "main", b"{}", 0)).unwrap()
@@ -61,17 +61,17 @@
 
     @property
     def reads(self):
-        """Return how many reads were asked for; a watch is one."""
+        """Return the number of read calls, including watches."""
         names = ("get", "list", "watch", "list_vms")
         return sum(self.calls[name] for name in names)
 
     @property
     def writes(self):
-        """Return how many writes were asked for."""
+        """Return the number of write calls."""
         return self.calls["put"] + self.calls["delete"]
 
     def set_available(self, available):
-        """Begin or end an outage; waiting watches fail at once."""
+        """Begin or end an outage; its begin fails waiting watches at once."""
         self.available = available
         self.objects.wake()
 
@@ -92,7 +92,7 @@
         return failure or Ok(self.objects.list(kind))
 
     async def put(self, kind, name, value, expected_version):
-        """Write if the version is as expected; ``Ok(new version)``."""
+        """Write if the version matches; return ``Ok(new version)``."""
 
         def write():
             return self.objects.put(kind, name, value, expected_version)
@@ -100,7 +100,7 @@
         return await self._write("put", kind, name, write)
 
     async def delete(self, kind, name, expected_version):
-        """Delete if the version is as expected; ``Ok(version)``."""
+        """Delete if the version matches; return ``Ok(version)``."""
 
         def write():
             return self.objects.delete(kind, name, expected_version)
@@ -108,7 +108,10 @@
         return await self._write("delete", kind, name, write)
 
     async def watch(self, kind, after, timeout_s):
-        """Wait for changes of a kind; ``Ok(WatchBatch)``, maybe empty."""
+        """Wait for changes of a kind; return ``Ok(WatchBatch)``.
+
+        The batch is empty after ``timeout_s`` without a change.
+        """
         failure = await self._begin_read("watch", kind, "")
         if failure:
             return failure
@@ -127,7 +130,7 @@
         return failure or Ok(self._vm_list)
 
     async def close(self):
-        """End the writes that are under way late."""
+        """Cancel the delayed writes."""
         for task in self._tasks:
             task.cancel()
 
--- a/godwitlanding/tests/test_docs.py
+++ b/godwitlanding/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages say what the tables in the code say."""
+"""Checks that the documentation matches the tables and commands in code."""
 
 import ast
 import re
@@ -27,7 +27,7 @@
 
 
 def _read_entries(page):
-    """Return the indented text behind each ``key`` at a line's start."""
+    """Return the indented text below each ``key`` at the start of a line."""
     text = (DOCS / page).read_text()
     found = re.findall(r"^``([^`]+)``\n((?:    .*\n|\n(?=    ))+)", text, re.M)
     return {key: " ".join(body.split()) for key, body in found}
@@ -95,7 +95,7 @@
 
 def test_every_required_library_has_a_documented_reason():
     text = (DOCS / "dependencies.rst").read_text()
-    asked = (ROOT / "requirements.in").read_text().split()
-    for name in (word for word in asked if re.fullmatch(r"[a-z][a-z0-9-]+", word)):
+    required = (ROOT / "requirements.in").read_text().split()
+    for name in (word for word in required if re.fullmatch(r"[a-z][a-z0-9-]+", word)):
         if name != "development":
             assert f"``{name}``" in text, name
--- a/godwitlanding/tests/test_known_red.py
+++ b/godwitlanding/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures names tests that there are."""
+"""Checks that the list of known failures names existing tests."""
 
 from godwitlanding.tests.known_red import PAGE, read_known_red
 
--- a/godwitlanding/tests/test_layers.py
+++ b/godwitlanding/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Each folder of the package imports only what stands below it."""
+"""Checks that each folder of the package imports only lower layers."""
 
 import ast
 from pathlib import Path
@@ -6,8 +6,8 @@
 import pytest
 
 PACKAGE = Path(__file__).parents[1]
-# Folders and what each may import beside itself; modules on the top floor
-# join the others and may import everything.
+# The folders that each folder may import besides itself. Top-level modules
+# assemble the programs and may import everything.
 ALLOWED_BY_FOLDER = {
     "base": set(),
     "decisions": {"base"},
@@ -20,7 +20,7 @@
 
 
 def _find_imports(path):
-    """Yield the names under ``godwitlanding`` that a module imports."""
+    """Yield the folders and modules of the package that a file imports."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
             if node.module == "godwitlanding":
--- a/godwitlanding/tests/test_metrics_page.py
+++ b/godwitlanding/tests/test_metrics_page.py
@@ -1,4 +1,4 @@
-"""docs/metrics.rst lists every metric in the code, with its labels."""
+"""Checks that docs/metrics.rst lists every metric with its labels."""
 
 import ast
 import re
@@ -7,18 +7,18 @@
 PACKAGE = Path(__file__).parents[1]
 PAGE = PACKAGE.parent / "docs" / "metrics.rst"
 METHODS = {"add", "record", "observe"}
-# Arguments of the methods that are no labels.
+# Arguments of the methods that are not labels.
 ARGUMENTS = {"amount", "read", "value_s"}
 
 
 def get_sources():
-    """Return the files of the package that are no tests."""
+    """Return the files of the package without the tests."""
     tests = PACKAGE / "tests"
     return [path for path in PACKAGE.rglob("*.py") if tests not in path.parents]
 
 
 def find_metrics():
-    """Return ``{name: labels}`` of all calls to counters in the package."""
+    """Return ``{name: labels}`` of all metric calls in the package."""
     labels_by_name = {}
     for source in get_sources():
         for node in ast.walk(ast.parse(source.read_text())):
@@ -36,7 +36,7 @@
 
 
 def read_page():
-    """Return ``{name: labels}`` of the page's entries."""
+    """Return ``{name: labels}`` of the entries of the page."""
     entries = re.findall(r"^``(\w+)``(.*)\n    \S", PAGE.read_text(), re.M)
     return {name: set(re.findall(r"``(\w+)``", labels)) for name, labels in entries}
 
@@ -46,7 +46,7 @@
 
 
 def test_names_are_literal():
-    """A name that is put together at run time could not be found here."""
+    """``find_metrics`` cannot find names that are composed at run time."""
     for source in get_sources():
         for node in ast.walk(ast.parse(source.read_text())):
             if is_metric(node):
--- a/godwitlanding/tests/test_pages.py
+++ b/godwitlanding/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Every ``godwitctl`` command on the operators' pages, run as it stands."""
+"""Runs every ``godwitctl`` command of the operators' documentation."""
 
 import re
 import shlex
@@ -15,24 +15,24 @@
 
 
 def read_commands():
-    """Return ``(page, words)`` of each command, in the pages' order."""
+    """Yield ``(page, words)`` of each command in the order of the pages."""
     for page in PAGES:
         text = (DOCS / page).read_text()
         for line in re.findall(r"^ {4}godwitctl (.+)$", text, re.M):
-            # The sample for larger VMs is on a page for another system.
+            # Excludes the sample for larger VMs, which is for another system.
             if "legitka" not in line:
                 yield page, shlex.split(line)
 
 
 async def send_request(cluster):
-    """Send a look-up; return its request id."""
+    """Send a lookup request; return its request id."""
     url = cluster.get_url("north-a-1", "entry") + "/s/status/x"
-    async with aiohttp.ClientSession() as session, session.get(url) as answer:
-        return answer.headers["Godwit-Request-Id"]
+    async with aiohttp.ClientSession() as session, session.get(url) as response:
+        return response.headers["Godwit-Request-Id"]
 
 
 async def test_documented_commands_succeed(tmp_path):
-    """An operator types the commands of a page, one after another."""
+    """Run the commands of each page in order, as an operator would."""
     cluster = Cluster(
         (ROOT / SAMPLE).read_text(),
         claim_test_network(),
--- a/godwitlanding/tests/test_play.py
+++ b/godwitlanding/tests/test_play.py
@@ -1,4 +1,4 @@
-"""The system that a person tries by hand starts and says how to use it."""
+"""Checks that the local demo system starts and prints its addresses."""
 
 import asyncio
 from pathlib import Path
--- a/godwitlanding/tests/test_promises_page.py
+++ b/godwitlanding/tests/test_promises_page.py
@@ -1,4 +1,4 @@
-"""The page of promises names tests that exist."""
+"""Checks that the tests named in docs/promises.rst exist."""
 
 import re
 from pathlib import Path
--- a/godwitlanding/tests/test_vm.py
+++ b/godwitlanding/tests/test_vm.py
@@ -1,4 +1,4 @@
-"""The command of an entry VM before its services have started."""
+"""Tests of the ``godwit-vm`` command before its services are started."""
 
 import signal
 import subprocess
@@ -11,15 +11,16 @@
 
 @pytest.fixture
 def former_handler():
-    held = signal.getsignal(signal.SIGHUP)
+    former = signal.getsignal(signal.SIGHUP)
     yield
-    signal.signal(signal.SIGHUP, held)
+    signal.signal(signal.SIGHUP, former)
 
 
 def test_sighup_during_startup_is_ignored(former_handler, tmp_path, capsys):
-    # The settings file changes while a VM is starting, and the platform says
-    # so by SIGHUP. By default that ends a process; the VM would be missing
-    # until somebody starts it again.
+    # Guards against a VM that is ended by SIGHUP, whose default action is to
+    # end the process. The platform sends it when the settings file changes,
+    # which may happen during startup; the VM would then be missing until it is
+    # started again.
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
     assert vm.main(["--settings", str(tmp_path / "none")]) == vm.EXIT_BAD_SETTINGS
     assert signal.getsignal(signal.SIGHUP) is signal.SIG_IGN
--- a/godwitlanding/vm.py
+++ b/godwitlanding/vm.py
@@ -1,4 +1,4 @@
-"""``godwit-vm``: the one process of an entry VM on the users' platform.
+"""``godwit-vm``: the single process of an entry VM on the users' platform.
 
 >>> GODWITLANDING_SETTINGS=/etc/node.toml godwit-vm
 """
@@ -21,7 +21,7 @@
 
 
 def parse_arguments(argv=None):
-    """Return the command line's arguments."""
+    """Return the command-line arguments."""
     parser = argparse.ArgumentParser(
         prog="godwit-vm", description="Serve callers on an entry VM."
     )
@@ -47,10 +47,10 @@
 
 def main(argv=None):
     """Run the program; return its exit code."""
-    # What SIGHUP does by default is end the process, and a settings file may
-    # change while a VM starts: the VM would be missing until somebody starts
-    # it again. The settings are read after this line, so nothing is lost; the
-    # kernel takes the signal later.
+    # By default SIGHUP ends the process. It may arrive during startup because
+    # the settings file has changed; the VM would then be missing until it is
+    # started again. The settings are read after this line, so no change is
+    # lost. The kernel installs its own handler later.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     arguments = parse_arguments(argv)
     changed_at = get_change_time(arguments.settings)
@@ -61,8 +61,9 @@
         return EXIT_BAD_SETTINGS
     if arguments.check:
         return EXIT_OK
-    # The imports of the services take most of a start, half a second of a
-    # small VM, in which a signal that is not yet ignored would end it.
+    # Importing the services takes most of the startup, half a second on a
+    # small VM. A SIGHUP during that time would end the process if it were not
+    # ignored yet, so they are imported only here.
     from godwitlanding.program import run_program
 
     return run_program(read.unwrap(), changed_at, arguments)
--- a/godwitlanding/zone.py
+++ b/godwitlanding/zone.py
@@ -1,4 +1,7 @@
-"""``godwit-zone``: the control of an availability zone, one on each VM."""
+"""``godwit-zone``: the control daemon of an availability zone.
+
+One runs on each VM of the zone.
+"""
 
 import sys
 
