--- a/godwitlanding/gateway/allotmentnews.py
+++ b/godwitlanding/gateway/allotmentgossip.py
@@ -11,38 +11,38 @@
 # Those who carry requests tell each other what changed within this time. All
 # who live tell all with each so many words, for who missed it or carries
 # nothing.
-TELL_OFTEN_S = 0.25
-TELL_ALL_EVERY = 4
+RECENT_S = 0.25
+FULL_STATE_EVERY = 4
 # Looks between two times at which parts are cut anew, a quarter of a second
 # each.
-CARRIER_LOOKS = 2
-IDLE_LOOKS = 8
+CARRIER_UPDATE_EVERY = 2
+IDLE_UPDATE_EVERY = 8
 # Parts of regions change within seconds.
-TELL_ASKED_EVERY = 2
+DEMAND_EVERY = 2
 
 
-class AllotmentNews:
+class AllotmentGossip:
     """Passes on what ``allotments`` counts, and hears what others count."""
 
     def __init__(self, allotments):
         self._allotments = allotments
-        self._used_share = 1.0
-        self._looks = 0
-        self._state_turn = 0
-        self._asked_turn = 0
+        self._applied_share = 1.0
+        self._ticks = 0
+        self._state_sends = 0
+        self._digest_sends = 0
 
-    def get_newest(self):
+    def get_recent(self):
         """Return the counts that have just changed."""
-        return self._allotments.get_tallies(_now() - TELL_OFTEN_S)
+        return self._allotments.get_tallies(_now() - RECENT_S)
 
-    def get_state(self):
+    def get_periodic_tallies(self):
         """Return counts for all who live, and whether those are all."""
-        self._state_turn += 1
-        if self._state_turn % TELL_ALL_EVERY:
+        self._state_sends += 1
+        if self._state_sends % FULL_STATE_EVERY:
             return (), False
         return self._allotments.get_tallies(), True
 
-    def get_greeting(self):
+    def get_initial_state(self):
         """Return what a VM that has just started is told, by field."""
         return {
             "tallies": self._allotments.get_tallies(),
@@ -52,36 +52,36 @@
 
     def get_asked(self):
         """Return what this region's callers ask for, each second time."""
-        self._asked_turn += 1
-        if self._asked_turn % TELL_ASKED_EVERY:
+        self._digest_sends += 1
+        if self._digest_sends % DEMAND_EVERY:
             return ()
         return self._allotments.get_asked()
 
-    def hear(self, bulletin):
+    def hear(self, message):
         """Take a bulletin from a VM of this region."""
         now = _now()
         self._allotments.hear(
-            bulletin.vm,
-            bulletin.incarnation,
-            bulletin.tallies,
+            message.vm,
+            message.incarnation,
+            message.tallies,
             now,
-            bulletin.tells_all,
-            bulletin.carries,
+            message.tells_all,
+            message.carries,
         )
-        self._allotments.learn(bulletin.levels, now)
+        self._allotments.learn(message.levels, now)
 
-    def hear_digest(self, digest):
+    def receive_digest(self, digest):
         """Take another region's digest."""
         if digest.asked:
             self._allotments.hear_region(digest.region, digest.asked, _now())
 
-    def update(self, share, own_carries):
+    def update(self, share, carries_requests):
         """Work out this region's parts; ``share`` of its VMs is heard."""
         # VMs that carry nothing have next to nothing to cut, and are many.
-        self._looks += 1
-        every = CARRIER_LOOKS if own_carries else IDLE_LOOKS
-        if self._looks % every == 0 or share < self._used_share:
-            self._used_share = share
+        self._ticks += 1
+        every = CARRIER_UPDATE_EVERY if carries_requests else IDLE_UPDATE_EVERY
+        if self._ticks % every == 0 or share < self._applied_share:
+            self._applied_share = share
             self._allotments.update(share, _now())
 
 
--- a/godwitlanding/gateway/arrivals.py
+++ b/godwitlanding/gateway/arrivalrates.py
@@ -5,7 +5,7 @@
 _WEIGHT = 0.3
 
 
-class Arrivals:
+class ArrivalRates:
     """A running mean; ``update`` is called once a second."""
 
     def __init__(self):
@@ -16,7 +16,7 @@
         """Count a request."""
         self._count_by_service[service] = self._count_by_service.get(service, 0) + 1
 
-    def get_total(self):
+    def get_total_rate(self):
         """Return the rate of all services together."""
         return sum(self.rate_by_service.values())
 
--- a/godwitlanding/gateway/availability.py
+++ b/godwitlanding/gateway/availability.py
@@ -22,15 +22,15 @@
         self.ejected = set()
         self.pauses = Pauses()
 
-    def may_take(self, upstream_id, now):
+    def is_available(self, upstream_id, now):
         """Tell whether a request may be sent there at once."""
         if upstream_id in self.ejected or self.pauses.get_left_s(upstream_id, now) > 0:
             return False
         if not self._limits.may_send(upstream_id, now):
             return False
-        return self._may_take_cold(upstream_id, now)
+        return self._is_cold_upstream_available(upstream_id, now)
 
-    def may_learn(self, upstream_id, now):
+    def may_send_new_objects(self, upstream_id, now):
         """Tell whether it may be given objects that it does not know yet.
 
         What one with a scarce limit may still get is for what it knows.
@@ -60,7 +60,7 @@
         self.pauses.forget(upstream_id)
         self._cold_next_by_upstream.pop(upstream_id, None)
 
-    def _may_take_cold(self, upstream_id, now):
+    def _is_cold_upstream_available(self, upstream_id, now):
         # A cold upstream crashes when it gets much more than its rate from
         # all VMs together. So one VM alone sends to it, the same in every
         # VM's eyes while they hear the same peers, and spaces its requests.
--- a/godwitlanding/gateway/candidates.py
+++ b/godwitlanding/gateway/candidates.py
@@ -77,7 +77,7 @@
                 continue
             if self._object_map.get_depth(number, key) >= remembered:
                 continue
-            if self._availability.may_take(upstream_id, now):
+            if self._availability.is_available(upstream_id, now):
                 known.ids_by_region.setdefault(region, []).append(upstream_id)
             elif self._availability.is_scarce(upstream_id, now):
                 known.limited.add(region)
@@ -93,9 +93,9 @@
         order = self._homes.get_order((work.service, region), work.key, ids)
         if not order or order[0] in tried or not self._is_left_out(order[0], ids):
             return None
-        if not self._availability.may_take(order[0], now):
+        if not self._availability.is_available(order[0], now):
             return None
-        if not self._availability.may_learn(order[0], now):
+        if not self._availability.may_send_new_objects(order[0], now):
             return None
         return place([self._make_candidate(work, order[0], 0, False, now)])
 
@@ -120,7 +120,7 @@
         def is_usable(upstream_id):
             if known.limited and self._availability.is_scarce(upstream_id, now):
                 return False
-            return upstream_id not in tried and self._availability.may_take(
+            return upstream_id not in tried and self._availability.is_available(
                 upstream_id, now
             )
 
--- a/godwitlanding/gateway/change.py
+++ b/godwitlanding/gateway/changeset.py
@@ -5,7 +5,7 @@
 from godwitlanding.base.storetypes import StoredObject
 
 
-class Change(NamedTuple):
+class ChangeSet(NamedTuple):
     """What a mirror has learnt at once.
 
     ``revision`` is the store's, up to which the mirror knows every change,
@@ -20,7 +20,7 @@
     whole: bool = False
 
 
-def make_change(batch):
+def make_change_set(batch):
     """Return a watch's events as a change; the last one of a name counts."""
     stored_by_name = {}
     removed = {}
@@ -34,6 +34,6 @@
             stored_by_name[name] = event.stored
     # The version of an object that is gone is that of its removal.
     changed_at = max((event.stored.version for event in batch.events), default=0)
-    return Change(
+    return ChangeSet(
         batch.version, changed_at, tuple(stored_by_name.values()), tuple(removed)
     )
--- a/godwitlanding/gateway/chooser.py
+++ b/godwitlanding/gateway/chooser.py
@@ -14,7 +14,7 @@
 from godwitlanding.gateway.candidates import Candidates
 from godwitlanding.gateway.distances import Distances
 from godwitlanding.gateway.learning import Learning
-from godwitlanding.gateway.regionplan import RegionPlan
+from godwitlanding.gateway.regionbalancer import RegionBalancer
 from godwitlanding.gateway.registry import Upstream
 
 RECOVER_PAUSE_S = 1.0
@@ -119,7 +119,7 @@
             self._identity, self._registry, self._fleet, self._limits
         )
         self._candidates = self._make_candidates()
-        self._plan = RegionPlan(
+        self._plan = RegionBalancer(
             self._identity,
             self._registry,
             peers,
@@ -194,7 +194,7 @@
             return Rejection("no upstream", None, work.target_at - now)
         if work.key:
             self._homes.note_object(work.service, work.key)
-        dealt = self._plan.deal(work.service, regions, work.key)
+        dealt = self._plan.pick_region(work.service, regions, work.key)
         known = self._candidates.find_known(work, regions, tried, now)
         if known.ids_by_region:
             return self._choose_known(work, known, dealt, tried, now)
@@ -266,7 +266,7 @@
 
     def _may_overflow(self, service, region, now):
         # Where not all is remembered, what overflows pushes out what is known.
-        if not self._plan.remembers_all(service, region):
+        if not self._plan.can_cache_all_objects(service, region):
             return False
         return self._shift_guard.may_change(region, now)
 
--- a/godwitlanding/gateway/crashnews.py
+++ b/godwitlanding/gateway/crashgossip.py
@@ -3,11 +3,11 @@
 import asyncio
 
 # Told for this long, so that datagrams that are lost do no harm.
-TELL_S = 3.0
-MAX_TOLD = 20
+REPEAT_S = 3.0
+MAX_CRASHES = 20
 
 
-class CrashNews:
+class CrashGossip:
     """Keeps each ``Crash`` that this VM saw for a while."""
 
     def __init__(self):
@@ -15,10 +15,10 @@
 
     def note(self, crash):
         """A request was running on an upstream as that one crashed."""
-        self._crashes.append((_now() + TELL_S, crash))
-        del self._crashes[:-MAX_TOLD]
+        self._crashes.append((_now() + REPEAT_S, crash))
+        del self._crashes[:-MAX_CRASHES]
 
-    def get_newest(self):
+    def get_recent(self):
         """Return what the peers are told."""
         now = _now()
         self._crashes = [row for row in self._crashes if row[0] > now]
--- a/godwitlanding/gateway/datagrams.py
+++ b/godwitlanding/gateway/datagrams.py
@@ -4,22 +4,22 @@
 
 from eliot import log_message
 
-from godwitlanding.gateway.bulletin import MAX_DATAGRAM_BYTES, encode_bulletin
+from godwitlanding.gateway.gossipmessage import MAX_DATAGRAM_BYTES, encode_message
 
 
-class Datagrams:
+class DatagramSocket:
     """A socket for bulletins; ``hear(data, host)`` takes what arrives."""
 
-    def __init__(self, ip, port, hear):
+    def __init__(self, ip, port, on_datagram):
         self._address = (ip, port)
-        self._hear = hear
+        self._on_datagram = on_datagram
         self._transport = None
 
     async def open(self):
         """Listen."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
-            lambda: _Listener(self._hear), local_addr=self._address
+            lambda: _Protocol(self._on_datagram), local_addr=self._address
         )
 
     def is_open(self):
@@ -30,9 +30,9 @@
         """Listen no longer."""
         self._transport.close()
 
-    def send(self, bulletin, hosts):
+    def send(self, message, hosts):
         """Send a bulletin to some hosts; the port is the same everywhere."""
-        data = encode_bulletin(bulletin)
+        data = encode_message(message)
         if len(data) > MAX_DATAGRAM_BYTES:
             log_message("peers:too_long", level="error", bytes=len(data))
             return
@@ -41,12 +41,12 @@
             self._transport.sendto(data, (host, port))
 
 
-class _Listener(asyncio.DatagramProtocol):
-    def __init__(self, hear):
-        self._hear = hear
+class _Protocol(asyncio.DatagramProtocol):
+    def __init__(self, on_datagram):
+        self._on_datagram = on_datagram
 
     def datagram_received(self, data, address):
-        self._hear(data, address[0])
+        self._on_datagram(data, address[0])
 
     def error_received(self, error):
         # A peer whose process is down answers that its port is closed; that
--- a/godwitlanding/gateway/feed.py
+++ b/godwitlanding/gateway/feed.py
@@ -29,7 +29,7 @@
 from godwitlanding.base.tasks import start_task
 from godwitlanding.base.wire import Pool, Server
 from godwitlanding.decisions.reading import SIGN_PAUSE_S, SIGN_SILENT_S
-from godwitlanding.gateway.change import Change
+from godwitlanding.gateway.changeset import ChangeSet
 
 ROLE = "vm"
 # A source in another region answers within 0.2 s.
@@ -51,36 +51,40 @@
         hello = Hello(
             PROTOCOL_VERSION, ROLE, identity.vm, identity.availability_zone, ""
         )
-        self._server = Server(hello, {Follow: self._begin_feeding}, counters)
-        self._pool = Pool(hello, {Update: self._take, Sign: self._take_sign}, counters)
-        self._fed = set()
+        self._server = Server(hello, {Follow: self._add_follower}, counters)
+        self._pool = Pool(
+            hello,
+            {Update: self._receive_update, Sign: self._receive_heartbeat},
+            counters,
+        )
+        self._followers = set()
         self._parts_by_kind = {}
         self._task = None
-        self._sign_task = None
+        self._heartbeat_task = None
         self._channel = None
-        self._signed_at = 0.0
+        self._last_received_at = 0.0
         # IP number of the source, empty for none.
         self.source = ""
         self.source_reads = False
         self.reads = lambda: False
         for mirror in mirrors:
-            mirror.on_change.append(self._pass_on)
+            mirror.on_change.append(self._forward)
 
     async def start(self, kernel):
         """Listen for VMs that want to be fed."""
         await self._server.start(self._identity.ip, self._identity.peer_port)
-        self._sign_task = start_task(self._sign_often())
+        self._heartbeat_task = start_task(self._send_heartbeats())
 
     async def stop(self):
         """Feed nobody, and take nothing."""
         self.follow("")
-        self._sign_task.cancel()
+        self._heartbeat_task.cancel()
         await self._pool.stop()
         await self._server.stop()
 
     def get_status(self):
         """Return the source and the number of VMs that are fed."""
-        return {"source": self.source, "fed": len(self._fed)}
+        return {"source": self.source, "fed": len(self._followers)}
 
     def follow(self, host):
         """Take the store's state from the VM at ``host`` (empty: nobody)."""
@@ -95,7 +99,7 @@
         self.source_reads = False
         self._task = start_task(self._follow(host)) if host else None
 
-    def has_source(self):
+    def has_reading_source(self):
         """Tell whether a source is heard that reads the store itself."""
         return self.source_reads
 
@@ -107,7 +111,7 @@
         detail = await self._subscribe(address)
         if not detail:
             log_message("feed:following", source=host)
-            while _now() - self._signed_at <= SIGN_SILENT_S:
+            while _now() - self._last_received_at <= SIGN_SILENT_S:
                 if self._channel.closed.is_set():
                     detail = "closed"
                     break
@@ -123,26 +127,26 @@
 
     async def _subscribe(self, address):
         """Begin to be fed; return why not, empty if all is well."""
-        dialled = await self._pool.get_channel(address)
-        if dialled.is_err():
-            return dialled.unwrap_err().detail
-        self._channel = dialled.unwrap()
-        self._signed_at = _now()
+        connected = await self._pool.get_channel(address)
+        if connected.is_err():
+            return connected.unwrap_err().detail
+        self._channel = connected.unwrap()
+        self._last_received_at = _now()
         self._parts_by_kind = {}
         positions = tuple(map(_make_position, self._mirror_by_kind.values()))
         answer = await self._channel.call(Follow(positions), FOLLOW_TIMEOUT_S)
         return answer.unwrap_err().detail or "refused" if answer.is_err() else ""
 
-    async def _take_sign(self, channel, sign):
+    async def _receive_heartbeat(self, channel, sign):
         if channel is self._channel:
-            self._signed_at = _now()
+            self._last_received_at = _now()
             self.source_reads = sign.reads
 
-    async def _take(self, channel, update):
+    async def _receive_update(self, channel, update):
         mirror = self._mirror_by_kind.get(update.kind)
         if channel is not self._channel or mirror is None:
             return
-        self._signed_at = _now()
+        self._last_received_at = _now()
         objects = tuple(
             StoredObject(update.kind, held.name, held.version, held.value)
             for held in update.objects
@@ -152,51 +156,53 @@
             if not update.last:
                 self._parts_by_kind[update.kind] = objects
                 return
-        change = Change(
+        change_set = ChangeSet(
             update.revision, update.changed_at, objects, update.removed, update.whole
         )
-        mirror.take_over(change)
+        mirror.apply_change_set(change_set)
 
-    async def _begin_feeding(self, channel, follow):
+    async def _add_follower(self, channel, follow):
         for position in follow.positions:
             mirror = self._mirror_by_kind.get(position.kind)
             if mirror is None or not mirror.is_known:
                 continue
             if _is_behind(position, mirror):
-                self._send_change(channel, position.kind, mirror.make_whole())
+                self._send_change_set(
+                    channel, position.kind, mirror.make_full_change_set()
+                )
         channel.send(Sign(self.reads()))
-        self._fed.add(channel)
+        self._followers.add(channel)
 
-    def _pass_on(self, mirror, change):
-        for channel in list(self._fed):
-            self._send_change(channel, mirror.kind, change)
+    def _forward(self, mirror, change_set):
+        for channel in list(self._followers):
+            self._send_change_set(channel, mirror.kind, change_set)
 
-    def _send_change(self, channel, kind, change):
+    def _send_change_set(self, channel, kind, change_set):
         if channel.closed.is_set():
-            self._fed.discard(channel)
+            self._followers.discard(channel)
             return
-        parts = list(_split(change.objects))
+        parts = list(_split_into_parts(change_set.objects))
         for number, part in enumerate(parts, 1):
             last = number == len(parts)
-            removed = change.removed if last else ()
+            removed = change_set.removed if last else ()
             update = Update(
                 kind=kind,
-                revision=change.revision,
-                whole=change.whole,
+                revision=change_set.revision,
+                whole=change_set.whole,
                 last=last,
                 objects=part,
                 removed=removed,
-                changed_at=change.changed_at,
+                changed_at=change_set.changed_at,
             )
             channel.send(update)
 
-    async def _sign_often(self):
+    async def _send_heartbeats(self):
         while True:
             await asyncio.sleep(SIGN_PAUSE_S)
             sign = Sign(self.reads())
-            for channel in list(self._fed):
+            for channel in list(self._followers):
                 if channel.closed.is_set():
-                    self._fed.discard(channel)
+                    self._followers.discard(channel)
                 else:
                     channel.send(sign)
 
@@ -214,7 +220,7 @@
     return position.objects != len(mirror.get_objects())
 
 
-def _split(objects):
+def _split_into_parts(objects):
     """Yield the objects in parts that fit a frame, one at the least."""
     part = []
     size = 0
--- a/godwitlanding/gateway/bulletin.py
+++ b/godwitlanding/gateway/gossipmessage.py
@@ -22,9 +22,9 @@
 _LIMIT = struct.Struct("<IfHI")
 _NO_LIMIT = -1.0
 _NO_AGE = 0xFFFF
-_COUNTS = 1 << 32
+_COUNT_MODULUS = 1 << 32
 # Digests whose rows are not read or packed again while they go round.
-_DIGESTS_HELD = 16
+_CACHED_DIGESTS = 16
 # The longest datagram there is; one that is longer than a packet is lost
 # with any of its packets.
 MAX_DATAGRAM_BYTES = 60_000
@@ -38,7 +38,7 @@
     changed_at: tuple[int, ...]
 
 
-class Bulletin(NamedTuple):
+class GossipMessage(NamedTuple):
     """The state of one VM; rates are requests a second by service."""
 
     vm: str
@@ -78,9 +78,9 @@
         return self.active and self.ready and not self.leaving
 
 
-def encode_bulletin(bulletin):
+def encode_message(bulletin):
     """Return a bulletin as bytes."""
-    message = _schema.Bulletin.new_message(
+    message = _schema.GossipMessage.new_message(
         vm=bulletin.vm,
         incarnation=bulletin.incarnation,
         sequence=bulletin.sequence,
@@ -90,14 +90,14 @@
         active=bulletin.active,
         linkMbps=bulletin.capacity.link_mbps,
         cores=bulletin.capacity.cores,
-        inProgress=_pack(bulletin.count_by_number.items()),
+        inProgress=_pack_pairs(bulletin.count_by_number.items()),
         arrivals=_make_rates(bulletin.rate_by_service),
         crashes=[crash._asdict() for crash in bulletin.crashes],
         digests=[_make_digest(digest) for digest in bulletin.digests],
         reads=bulletin.reads,
         failed=bulletin.failed,
         changedAt=list(bulletin.changed_at),
-        met=_pack(bulletin.met),
+        met=_pack_pairs(bulletin.met),
         tallies=b"".join(_TALLY.pack(*tally) for tally in bulletin.tallies),
         tellsAll=bulletin.tells_all,
         levels=_pack_amounts(bulletin.levels),
@@ -112,7 +112,7 @@
     return b"".join(map(_NUMBER.pack, numbers))
 
 
-def _read_numbers(data):
+def _unpack_numbers(data):
     return tuple(number for number, in _NUMBER.iter_unpack(data))
 
 
@@ -121,22 +121,22 @@
     age_ms = _NO_AGE
     if row.age_s is not None:
         age_ms = min(_NO_AGE - 1, round(row.age_s * 1000))
-    return _LIMIT.pack(row.upstream, per_s, age_ms, row.sent % _COUNTS)
+    return _LIMIT.pack(row.upstream, per_s, age_ms, row.sent % _COUNT_MODULUS)
 
 
-def _read_limit(upstream, per_s, age_ms, sent):
+def _unpack_limit(upstream, per_s, age_ms, sent):
     if not math.isfinite(per_s):
         raise ValueError("a limit that is none")
-    named = None if per_s < 0 else per_s
+    named_per_s = None if per_s < 0 else per_s
     age_s = None if age_ms == _NO_AGE else age_ms / 1000
-    return LimitRow(upstream, named, age_s, sent)
+    return LimitRow(upstream, named_per_s, age_s, sent)
 
 
-def _pack(pairs):
+def _pack_pairs(pairs):
     return b"".join(_PAIR.pack(*pair) for pair in pairs)
 
 
-def _read_met(data):
+def _unpack_cache_entries(data):
     return tuple(CacheEntry(*pair) for pair in _PAIR.iter_unpack(data))
 
 
@@ -156,18 +156,18 @@
         "crashes": [crash._asdict() for crash in digest.crashes],
         "source": digest.source,
         "changedAt": list(digest.changed_at),
-        "met": _pack(digest.met),
+        "met": _pack_pairs(digest.met),
         "asked": _pack_amounts(digest.asked),
         "limited": _pack_amounts(digest.limited),
         "leavingUpstreams": _pack_numbers(digest.leaving_upstreams),
     }
 
 
-def decode_bulletin(data):
+def decode_message(data):
     """Return the bulletin in ``data``; raises ``ValueError`` if none is."""
     try:
-        message = _schema.Bulletin.from_bytes_packed(data)
-        return Bulletin(
+        message = _schema.GossipMessage.from_bytes_packed(data)
+        return GossipMessage(
             vm=message.vm,
             incarnation=message.incarnation,
             sequence=message.sequence,
@@ -183,15 +183,15 @@
             reads=message.reads,
             failed=message.failed,
             changed_at=tuple(message.changedAt),
-            met=_read_met(message.met),
+            met=_unpack_cache_entries(message.met),
             tallies=tuple(Tally(*row) for row in _TALLY.iter_unpack(message.tallies)),
             tells_all=message.tellsAll,
-            levels=_read_amounts(Level, message.levels),
+            levels=_unpack_amounts(Level, message.levels),
             heard=message.heard,
             limits=tuple(
-                _read_limit(*row) for row in _LIMIT.iter_unpack(message.limits)
+                _unpack_limit(*row) for row in _LIMIT.iter_unpack(message.limits)
             ),
-            leaving_upstreams=_read_numbers(message.leavingUpstreams),
+            leaving_upstreams=_unpack_numbers(message.leavingUpstreams),
         )
     except (capnp.KjException, UnicodeDecodeError, struct.error) as error:
         raise ValueError(f"not a bulletin: {error}") from None
@@ -214,21 +214,21 @@
         crashes=_read_crashes(row.crashes),
         source=row.source,
         changed_at=tuple(row.changedAt),
-        met=_read_met(row.met),
-        asked=_read_amounts(Asked, row.asked),
-        limited=_read_amounts(LimitedUpstream, row.limited),
-        leaving_upstreams=_read_numbers(row.leavingUpstreams),
+        met=_unpack_cache_entries(row.met),
+        asked=_unpack_amounts(Asked, row.asked),
+        limited=_unpack_amounts(LimitedUpstream, row.limited),
+        leaving_upstreams=_unpack_numbers(row.leavingUpstreams),
     )
 
 
 # A VM hears a digest from all who pass it on, and passes it on itself.
-@lru_cache(maxsize=_DIGESTS_HELD)
+@lru_cache(maxsize=_CACHED_DIGESTS)
 def _pack_amounts(rows):
     return b"".join(_AMOUNT.pack(*row) for row in rows)
 
 
-@lru_cache(maxsize=_DIGESTS_HELD)
-def _read_amounts(kind, data):
+@lru_cache(maxsize=_CACHED_DIGESTS)
+def _unpack_amounts(kind, data):
     rows = tuple(kind(*row) for row in _AMOUNT.iter_unpack(data))
     if not all(math.isfinite(amount) for _, amount in rows):
         raise ValueError("an amount that is none")
--- a/godwitlanding/gateway/neighbours.py
+++ b/godwitlanding/gateway/knownvms.py
@@ -11,10 +11,10 @@
 
 from godwitlanding.decisions.fleet import get_carriers
 from godwitlanding.decisions.quorum import Quorum
-from godwitlanding.gateway.fartargets import FarTargets, get_hosts
+from godwitlanding.gateway.remotetargets import RemoteTargets, get_hosts
 
 # The share of the region is logged when it has changed by more than this.
-TOLD_CHANGE = 0.05
+LOG_CHANGE = 0.05
 
 
 class ListedVm(NamedTuple):
@@ -24,17 +24,17 @@
     region: str
 
 
-class Neighbours:
+class KnownVms:
     """The VMs that this one may tell something; hosts are IP numbers."""
 
     def __init__(self, region, fleet, digests):
         self._region = region
         self._fleet = fleet
         self._digests = digests
-        self._far_targets = FarTargets(digests)
+        self._remote_targets = RemoteTargets(digests)
         self._listed_by_vm = {}
         self._quorum = Quorum()
-        self._told_share = 1.0
+        self._logged_share = 1.0
 
     def put(self, vm, listed):
         """The store lists a VM; return whether that is new."""
@@ -51,23 +51,23 @@
         """Return how many VMs there are beside this one, or more."""
         return len(self._listed_by_vm.keys() | self._fleet.peer_by_vm.keys())
 
-    def hear(self, bulletin):
+    def hear(self, message):
         """Take a bulletin from a near VM."""
-        self._quorum.note(bulletin.vm, bulletin.carries, bulletin.heard, _now())
+        self._quorum.note(message.vm, message.carries, message.heard, _now())
 
     def count_heard(self):
         """Return how many near VMs are heard, this one included."""
         return self._quorum.count_heard(_now())
 
-    def find_share(self, own_carries):
+    def compute_share(self, carries_requests):
         """Return the share of the region's VMs that is heard.
 
         ``own_carries`` tells whether this VM carries requests itself.
         """
-        listed = self.get_near_names()
-        share = self._quorum.get_share(listed, own_carries, _now())
-        if abs(share - self._told_share) > TOLD_CHANGE:
-            self._told_share = share
+        listed = self.get_region_names()
+        share = self._quorum.get_share(listed, carries_requests, _now())
+        if abs(share - self._logged_share) > LOG_CHANGE:
+            self._logged_share = share
             log_message(
                 "neighbours:quorum",
                 share=round(share, 3),
@@ -76,50 +76,50 @@
             )
         return share
 
-    def get_near(self):
+    def get_region_peers(self):
         """Return the near VMs that are heard, as ``Peer``."""
         peers = self._fleet.peer_by_vm.values()
         return [peer for peer in peers if peer.region == self._region]
 
-    def get_near_names(self):
+    def get_region_names(self):
         """Return the names of the near VMs that the store lists."""
         listed = self._listed_by_vm.items()
         return {vm for vm, row in listed if row.region == self._region}
 
-    def get_near_hosts(self):
+    def get_region_hosts(self):
         """Return the hosts of all near VMs."""
         listed = self._listed_by_vm.values()
         hosts = {vm.host for vm in listed if vm.region == self._region}
-        hosts.update(peer.host for peer in self.get_near())
+        hosts.update(peer.host for peer in self.get_region_peers())
         return hosts
 
     def get_active_hosts(self):
         """Return the hosts of near VMs that tell their region they live."""
-        return {peer.host for peer in self.get_near() if peer.active}
+        return {peer.host for peer in self.get_region_peers() if peer.active}
 
     def get_busy_hosts(self):
         """Return the hosts of near VMs that carry requests of callers."""
         # Those that callers are sent to may be busy the next moment.
         carriers = get_carriers(None, self._fleet, self._region)
         hosts = {peer.host for peer in carriers}
-        hosts.update(peer.host for peer in self.get_near() if peer.busy)
+        hosts.update(peer.host for peer in self.get_region_peers() if peer.busy)
         return list(hosts)
 
-    def get_far_carriers(self, regions=None):
+    def get_remote_carriers(self, regions=None):
         """Return the hosts that carry requests in ``regions``, or in all."""
         return get_hosts(self._digests.get_carriers(regions))
 
-    def note_teller(self, region, host):
+    def note_sender(self, region, host):
         """A VM of another region has told this one a digest."""
-        self._far_targets.note_teller(region, host)
+        self._remote_targets.note_sender(region, host)
 
-    def pick_far_targets(self):
+    def pick_remote_targets(self):
         """Return the hosts that are sent this region's digest."""
         hosts_by_region = {}
         for listed in self._listed_by_vm.values():
             if listed.region != self._region:
                 hosts_by_region.setdefault(listed.region, []).append(listed.host)
-        return self._far_targets.pick(hosts_by_region)
+        return self._remote_targets.pick(hosts_by_region)
 
 
 def _now():
--- a/godwitlanding/gateway/learning.py
+++ b/godwitlanding/gateway/learning.py
@@ -35,7 +35,7 @@
         cache_entry = self._make_meeting(work, upstream_id)
         held = self._object_map.get_depth(*cache_entry)
         depth = held if self._object_map.has_answered(cache_entry) else None
-        self._peers.note_meeting(cache_entry)
+        self._peers.note_cache_entry(cache_entry)
         if held is None:
             # Nobody has sent it there. Judged by its time alone, a fast first
             # run would count as known, and where all are fast, or were slow
--- a/godwitlanding/gateway/limitnews.py
+++ b/godwitlanding/gateway/limitgossip.py
@@ -15,10 +15,10 @@
 
 # What has changed is told for the time of some bulletins, so that one that is
 # lost is made good.
-TELL_S = 0.5
+REPEAT_S = 0.5
 
 
-class LimitNews:
+class LimitGossip:
     """Keeps the limits of upstreams in step with answers and with peers.
 
     ``on_far_limit`` is called with the region of an upstream elsewhere that
@@ -30,7 +30,7 @@
         self._region = region
         self._limits = RateLimits(region, regions)
         self._counters = counters
-        self.on_far_limit = lambda region: None
+        self.on_remote_limit = lambda region: None
 
     def set_regions(self, regions):
         """Take the regions that there are."""
@@ -47,7 +47,7 @@
             return
         self._log(upstream.id, limit_per_s, former, "")
         if region != self._region:
-            self.on_far_limit(region)
+            self.on_remote_limit(region)
 
     def get(self, upstream_id):
         """Return the limit that an upstream has named, or ``None``."""
@@ -73,10 +73,10 @@
         """Drop what is held of an upstream that is gone or new again."""
         self._limits.forget(self._registry.number_by_id.get(upstream_id))
 
-    def get_newest(self):
+    def get_recent(self):
         """Return what those who carry requests are told often."""
         now = _now()
-        return self._limits.get_rows(now, now - TELL_S)
+        return self._limits.get_rows(now, now - REPEAT_S)
 
     def get_all(self):
         """Return what the region is told now and then."""
@@ -86,27 +86,27 @@
         """Return what other regions are told."""
         return self._limits.get_limited()
 
-    def hear(self, bulletin):
+    def hear(self, message):
         """Take a bulletin from any VM."""
         now = _now()
-        for row in bulletin.limits:
+        for row in message.limits:
             upstream_id = self._registry.id_by_number.get(row.upstream)
             if upstream_id is None:
                 continue
             upstream = self._registry.upstream_by_id[upstream_id]
             region = self._registry.get_region(upstream.availability_zone)
             former = self._limits.get(row.upstream)
-            if self._limits.hear(bulletin.vm, bulletin.incarnation, row, region, now):
-                self._log(upstream_id, row.per_s, former, bulletin.vm)
+            if self._limits.hear(message.vm, message.incarnation, row, region, now):
+                self._log(upstream_id, row.per_s, former, message.vm)
 
-    def hear_digest(self, digest):
+    def receive_digest(self, digest):
         """Take another region's digest."""
         if digest.region != self._region:
             self._limits.hear_region(digest.region, digest.limited, _now())
 
-    def update(self, share, own_carries):
+    def update(self, share, carries_requests):
         """Take which ``share`` of the region's VMs is heard."""
-        self._limits.update(share, own_carries, _now())
+        self._limits.update(share, carries_requests, _now())
 
     def _log(self, upstream_id, limit_per_s, former_per_s, told_by):
         self._counters.add("upstream_limits")
--- a/godwitlanding/gateway/mirror.py
+++ b/godwitlanding/gateway/mirror.py
@@ -26,19 +26,19 @@
 from godwitlanding.base.storetypes import get_era, make_version
 from godwitlanding.base.tasks import start_task
 from godwitlanding.decisions.lapse import RETURNED_S
-from godwitlanding.gateway.change import Change, make_change
+from godwitlanding.gateway.changeset import ChangeSet, make_change_set
 
 # A call that the store took in an outage may never be answered, and its
 # connection lives on; a watch that hangs so is noticed when its time is over.
 # Callers count on a change soon after an outage; the store would hold a watch
 # far longer, and each watch that ends sooner is a call more.
-WATCH_S = 4.0
-FIRST_PAUSE_S = 0.1
-MAX_PAUSE_S = 1.0
+WATCH_TIMEOUT_S = 4.0
+FIRST_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 1.0
 # Changes that come within this time are fetched by one call: a watch that
 # returned is not repeated sooner. It is a small part of the time in which a
 # change has to be in force.
-GATHER_S = 0.25
+MIN_WATCH_INTERVAL_S = 0.25
 # A VM reads every list at its start and begins to follow soon after.
 FRESH_LIST_S = 1.0
 
@@ -67,16 +67,16 @@
         self._object_by_name = {}
         # Objects that a restored store has brought back, not applied yet, and
         # its revision when that was noticed: later ones were written since.
-        self._returned = {}
+        self._reappeared = {}
         self._restored_revision = 0
-        self._return_timer = None
-        self._taken = []
-        self._dropped = []
+        self._reappeared_timer = None
+        self._updated = []
+        self._removed = []
         self._task = None
-        self._pause_s = FIRST_PAUSE_S
+        self._backoff_s = FIRST_BACKOFF_S
         self._answered_at = 0.0
         # Revision of the store's last list, until a call fails.
-        self._listed = None
+        self._listed_revision = None
         self.on_change = []
         self.on_restored = []
         self.is_known = False
@@ -90,9 +90,9 @@
 
     async def stop(self):
         """Follow no longer."""
-        self.rest()
-        if self._return_timer:
-            self._return_timer.cancel()
+        self.stop_following()
+        if self._reappeared_timer:
+            self._reappeared_timer.cancel()
 
     def get_status(self):
         """Return how the kind is followed and what is held."""
@@ -119,7 +119,7 @@
             self._guard.note_lost(lost_at)
         self._task = start_task(self._follow())
 
-    def rest(self):
+    def stop_following(self):
         """Follow the store no longer; what is held stands."""
         if self._task:
             self._task.cancel()
@@ -141,35 +141,38 @@
             return None
         return held
 
-    def make_whole(self):
+    def make_full_change_set(self):
         """Return all that is held as a ``Change``."""
         objects = tuple(self._object_by_name.values())
-        return Change(self.revision, self.changed_at, objects, (), True)
+        return ChangeSet(self.revision, self.changed_at, objects, (), True)
 
-    def take_over(self, change):
+    def apply_change_set(self, change_set):
         """Take what another mirror of this kind has learnt."""
-        self._merge(change, self._drop)
+        self._merge(change_set, self._drop)
         self._note_known()
 
     async def _follow(self):
         revision = self._get_fresh_revision()
         while True:
             self._drop_due()
-            self._tell()
+            self._notify()
             if revision is None:
                 revision = await self._list()
             else:
                 revision = await self._watch(revision)
 
-    def is_just_listed(self):
+    def was_just_listed(self):
         """Tell whether the store's list was read a moment ago."""
-        return self._listed is not None and _now() - self._answered_at < FRESH_LIST_S
+        return (
+            self._listed_revision is not None
+            and _now() - self._answered_at < FRESH_LIST_S
+        )
 
     def _get_fresh_revision(self):
         # The history since a list that was just read is not gone yet.
-        return self._listed if self.is_just_listed() else None
+        return self._listed_revision if self.was_just_listed() else None
 
-    async def read_once(self, reached=None):
+    async def list_once(self, reached=None):
         """Read the list once; return whether the store answered.
 
         ``reached`` is a future of a version that the store has come to since
@@ -178,15 +181,15 @@
         if await self._list(self.begins_old, reached) is not None:
             return True
         # Whoever decides to follow the store asks again.
-        self.rest()
+        self.stop_following()
         return False
 
     async def _list(self, allow_stale=False, reached=None):
         answer = await self._store.snapshot(self.kind, allow_stale)
         if answer.is_err():
-            await self._fail(answer.unwrap_err())
+            await self._note_failure(answer.unwrap_err())
             return None
-        self._succeed()
+        self._note_success()
         snapshot = answer.unwrap()
         versions = [stored.version for stored in snapshot.objects]
         changed_at = max(versions, default=0)
@@ -196,13 +199,13 @@
             return await self._list()
         if allow_stale:
             # One that is empty tells the era at the least.
-            known_to = max(changed_at, make_version(get_era(snapshot.version), 0))
-            return self._take_old(known_to, snapshot.objects)
+            known_revision = max(changed_at, make_version(get_era(snapshot.version), 0))
+            return self._take_stale_list(known_revision, snapshot.objects)
         if self._object_by_name.keys() - {o.name for o in snapshot.objects}:
             # When they went is not told; not later than now.
             changed_at = snapshot.version
         refused = self._merge(
-            Change(snapshot.version, changed_at, snapshot.objects, (), True),
+            ChangeSet(snapshot.version, changed_at, snapshot.objects, (), True),
             self._remove,
         )
         log_message(
@@ -212,11 +215,11 @@
             objects=len(snapshot.objects),
             refused=len(refused),
         )
-        self._listed = snapshot.version
+        self._listed_revision = snapshot.version
         self._note_known()
         return snapshot.version
 
-    def _take_old(self, changed_at, objects):
+    def _take_stale_list(self, changed_at, objects):
         """Take a list that may be behind; return up to which revision.
 
         Whatever revision the store tells with it, only that of the last
@@ -224,12 +227,14 @@
         the store reads the list again.
         """
         if not self.is_known:
-            self._merge(Change(changed_at, changed_at, objects, (), True), self._remove)
+            self._merge(
+                ChangeSet(changed_at, changed_at, objects, (), True), self._remove
+            )
             self._note_known()
         return changed_at
 
     async def _watch(self, revision):
-        wait_s = WATCH_S
+        wait_s = WATCH_TIMEOUT_S
         due = self._guard.get_next_time() if self._guard else None
         if due is not None:
             wait_s = max(0.1, min(wait_s, due - _now()))
@@ -239,15 +244,15 @@
             refusal = answer.unwrap_err()
             if refusal.code is Code.WATCH_EXPIRED:
                 log_message("mirror:history_gone", kind=self.kind, revision=revision)
-                self._succeed()
+                self._note_success()
                 return None
-            await self._fail(refusal)
+            await self._note_failure(refusal)
             return None
-        self._succeed()
+        self._note_success()
         batch = answer.unwrap()
-        for stored in self._merge(make_change(batch), self._remove):
+        for stored in self._merge(make_change_set(batch), self._remove):
             self._log_refused(stored)
-        left_s = GATHER_S - (_now() - begun)
+        left_s = MIN_WATCH_INTERVAL_S - (_now() - begun)
         if left_s > 0:
             await asyncio.sleep(left_s)
         return max(revision, batch.version)
@@ -264,32 +269,32 @@
             revision=self.revision,
         )
 
-    def _merge(self, change, remove):
+    def _merge(self, change_set, remove):
         """Take what is news; return the objects that are older than known."""
-        if self.is_known and get_era(change.revision) > get_era(self.revision):
-            self._note_restored(change.revision)
+        if self.is_known and get_era(change_set.revision) > get_era(self.revision):
+            self._note_restored(change_set.revision)
         # Whoever tells may be behind: what it holds of before ``revision``
         # is known here already, or known to be gone.
         refused = []
-        for stored in change.objects:
+        for stored in change_set.objects:
             if self._guard:
                 self._guard.keep(stored.name)
             held = self._object_by_name.get(stored.name)
-            known_to = held.version if held else self.revision
-            if stored.version > known_to or not self.is_known:
-                self._take(stored)
-            elif stored.version < known_to:
+            known_revision = held.version if held else self.revision
+            if stored.version > known_revision or not self.is_known:
+                self._put(stored)
+            elif stored.version < known_revision:
                 refused.append(stored)
-        gone = set(change.removed)
-        if change.whole:
-            gone = self._object_by_name.keys() - {o.name for o in change.objects}
+        gone = set(change_set.removed)
+        if change_set.whole:
+            gone = self._object_by_name.keys() - {o.name for o in change_set.objects}
         for name in gone:
             held = self._object_by_name.get(name)
-            if held and held.version <= change.revision:
+            if held and held.version <= change_set.revision:
                 remove(name)
-        self.revision = max(self.revision, change.revision)
-        self.changed_at = max(self.changed_at, change.changed_at)
-        self._tell()
+        self.revision = max(self.revision, change_set.revision)
+        self.changed_at = max(self.changed_at, change_set.changed_at)
+        self._notify()
         return refused
 
     def _note_restored(self, revision):
@@ -297,35 +302,35 @@
             "mirror:restored", kind=self.kind, revision=revision, known=self.revision
         )
         if self._guard:
-            self._doubt_returns(revision)
-        for tell in self.on_restored:
-            tell()
+            self._hold_reappeared(revision)
+        for notify in self.on_restored:
+            notify()
 
-    def _doubt_returns(self, revision):
+    def _hold_reappeared(self, revision):
         self._guard.note_restored(_now())
         self._restored_revision = revision
-        if self._return_timer:
-            self._return_timer.cancel()
+        if self._reappeared_timer:
+            self._reappeared_timer.cancel()
         loop = asyncio.get_running_loop()
-        self._return_timer = loop.call_later(RETURNED_S, self._apply_returned)
+        self._reappeared_timer = loop.call_later(RETURNED_S, self._apply_reappeared)
 
-    def _apply_returned(self):
-        for stored in self._returned.values():
+    def _apply_reappeared(self):
+        for stored in self._reappeared.values():
             self._apply(stored.name, stored.version, stored.value)
-        self._returned = {}
+        self._reappeared = {}
 
     def _note_known(self):
         self.is_known = True
         if self._on_known:
             self._on_known()
 
-    def _take(self, stored):
+    def _put(self, stored):
         self._object_by_name[stored.name] = stored
-        self._taken.append(stored)
-        self._returned.pop(stored.name, None)
+        self._updated.append(stored)
+        self._reappeared.pop(stored.name, None)
         if self._may_be_gone(stored):
             log_message("mirror:return_held", kind=self.kind, name=stored.name)
-            self._returned[stored.name] = stored
+            self._reappeared[stored.name] = stored
             return
         self._apply(stored.name, stored.version, stored.value)
 
@@ -342,8 +347,8 @@
 
     def _drop(self, name):
         if self._object_by_name.pop(name, None) is not None:
-            self._dropped.append(name)
-            self._returned.pop(name, None)
+            self._removed.append(name)
+            self._reappeared.pop(name, None)
             if self._guard:
                 self._guard.note_gone(name, _now())
             self._apply(name, 0, None)
@@ -353,19 +358,19 @@
             for name in self._guard.take_due(_now()):
                 self._drop(name)
 
-    def _tell(self):
+    def _notify(self):
         """Tell what was learnt since the last time, if anything."""
-        if not self._taken and not self._dropped:
+        if not self._updated and not self._removed:
             return
-        change = Change(
-            self.revision, self.changed_at, tuple(self._taken), tuple(self._dropped)
+        change_set = ChangeSet(
+            self.revision, self.changed_at, tuple(self._updated), tuple(self._removed)
         )
-        self._taken = []
-        self._dropped = []
-        for tell in self.on_change:
-            tell(self, change)
+        self._updated = []
+        self._removed = []
+        for notify in self.on_change:
+            notify(self, change_set)
 
-    def _succeed(self):
+    def _note_success(self):
         now = _now()
         if self._guard:
             self._guard.note_answer(now)
@@ -375,11 +380,11 @@
             )
         self.is_lost = False
         self.has_answered = True
-        self._pause_s = FIRST_PAUSE_S
+        self._backoff_s = FIRST_BACKOFF_S
         self._answered_at = now
 
-    async def _fail(self, refusal):
-        self._listed = None
+    async def _note_failure(self, refusal):
+        self._listed_revision = None
         if self._guard:
             self._guard.note_lost(_now())
         if not self.is_lost:
@@ -391,9 +396,9 @@
                 code=refusal.code.name,
                 detail=refusal.detail,
             )
-        pause_s = self._pause_s * random.uniform(0.5, 1.5)
+        pause_s = self._backoff_s * random.uniform(0.5, 1.5)
         await asyncio.sleep(pause_s)
-        self._pause_s = min(MAX_PAUSE_S, self._pause_s * 2)
+        self._backoff_s = min(MAX_BACKOFF_S, self._backoff_s * 2)
 
 
 def _now():
--- a/godwitlanding/gateway/presence.py
+++ b/godwitlanding/gateway/presence.py
@@ -10,8 +10,8 @@
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.tasks import start_task
 
-_FIRST_PAUSE_S = 0.2
-_MAX_PAUSE_S = 2.0
+_FIRST_BACKOFF_S = 0.2
+_MAX_BACKOFF_S = 2.0
 
 
 class Presence(Service):
@@ -28,7 +28,7 @@
         self._store = store
         self._kind = kind
         self._vm = identity.vm
-        self._found = {"host": identity.ip, "zone": identity.availability_zone}
+        self._endpoint = {"host": identity.ip, "zone": identity.availability_zone}
         self._task = None
         self._is_written = False
 
@@ -37,9 +37,9 @@
         if self._task:
             self._task.cancel()
 
-    def note_held(self, stored):
+    def note_stored_object(self, stored):
         """The store holds this object of the VM (``None``: none)."""
-        if stored and orjson.loads(stored.value) == self._found:
+        if stored and orjson.loads(stored.value) == self._endpoint:
             self._is_written = True
             return
         self._is_written = False
@@ -48,10 +48,10 @@
             self._task = start_task(self._write_until_done(version))
 
     async def _write_until_done(self, version):
-        pause_s = _FIRST_PAUSE_S
+        pause_s = _FIRST_BACKOFF_S
         while not self._is_written:
             answer = await self._store.put(
-                self._kind, self._vm, orjson.dumps(self._found), version
+                self._kind, self._vm, orjson.dumps(self._endpoint), version
             )
             if answer.is_ok():
                 log_message("presence:written", version=answer.unwrap())
@@ -62,7 +62,7 @@
             if refusal.code is Code.VERSION_CONFLICT:
                 version = await self._read_version(version)
             await asyncio.sleep(pause_s * random.uniform(0.5, 1.5))
-            pause_s = min(_MAX_PAUSE_S, pause_s * 2)
+            pause_s = min(_MAX_BACKOFF_S, pause_s * 2)
 
     async def _read_version(self, version):
         # A write whose answer was lost has taken effect, or the list that
@@ -70,6 +70,6 @@
         held = await self._store.get(self._kind, self._vm)
         if held.is_ok():
             stored = held.unwrap()
-            self._is_written = orjson.loads(stored.value) == self._found
+            self._is_written = orjson.loads(stored.value) == self._endpoint
             return stored.version
         return 0 if held.unwrap_err().code is Code.NOT_FOUND else version
--- a/godwitlanding/gateway/regionplan.py
+++ b/godwitlanding/gateway/regionbalancer.py
@@ -19,15 +19,15 @@
     step,
 )
 
-PLAN_PAUSE_S = 0.5
+UPDATE_INTERVAL_S = 0.5
 # A region whose capacity changes by more than this share between two looks
 # has lost or gained upstreams, and its share moves at once.
 JUMP_SHARE = 0.34
 # Shares are logged when they have moved this far since the last line.
-TOLD_CHANGE = 0.05
+LOG_CHANGE = 0.05
 
 
-class RegionPlan:
+class RegionBalancer:
     """The regions' shares by service, and who is dealt out to which.
 
     ``ejected`` is the set of upstreams that cannot be reached.
@@ -41,10 +41,10 @@
         self._homes = homes
         self._limits = limits
         self._ejected = ejected
-        self._told_by_service = {}
+        self._logged_by_service = {}
         self._slots_by_service = {}
         self._dealer_by_service = {}
-        self._forecast_by_place = {}
+        self._forecast_by_service_and_region = {}
         self.shares_by_service = {}
         # This VM's own region first.
         self.regions = sorted(
@@ -55,10 +55,10 @@
     async def run(self):
         """Plan again and again."""
         while True:
-            self._plan()
-            await asyncio.sleep(PLAN_PAUSE_S)
+            self._update_shares()
+            await asyncio.sleep(UPDATE_INTERVAL_S)
 
-    def deal(self, service, regions, key):
+    def pick_region(self, service, regions, key):
         """Return which of ``regions``, nearest first, a request runs in."""
         shares = self.shares_by_service.get(service, {})
         if not any(shares.values()) or len(regions) == 1:
@@ -69,12 +69,12 @@
         region = dealer.pick(shares, key)
         return region if region in regions else regions[0]
 
-    def remembers_all(self, service, region):
+    def can_cache_all_objects(self, service, region):
         """Tell whether a region's upstreams can keep every object in mind."""
         upstreams = len(self._registry.get_usable(service, region))
         return get_known_share(upstreams, self._homes.get_objects(service)) >= 1.0
 
-    def _plan(self):
+    def _update_shares(self):
         config = self._registry.config
         if config is None:
             return
@@ -87,7 +87,7 @@
 
     def _get_loads(self, service):
         work_s = self._worktimes.get_mean_s(service)
-        rate_by_region = self._forecast(service, self._peers.get_rates(service))
+        rate_by_region = self._forecast(service, self._peers.get_arrival_rates(service))
         objects = self._homes.get_objects(service)
         slots_by_region = {}
         known_by_region = {}
@@ -119,12 +119,14 @@
 
     def _forecast(self, service, rate_by_region):
         now = asyncio.get_running_loop().time()
-        ahead_by_region = {}
+        forecast_by_region = {}
         for region, rate in rate_by_region.items():
-            forecast = self._forecast_by_place.setdefault((service, region), Forecast())
+            forecast = self._forecast_by_service_and_region.setdefault(
+                (service, region), Forecast()
+            )
             forecast.note(rate, now)
-            ahead_by_region[region] = forecast.get()
-        return ahead_by_region
+            forecast_by_region[region] = forecast.get()
+        return forecast_by_region
 
     def _count_slots(self, upstream, work_s):
         # One that is four times as slow carries a quarter.
@@ -141,7 +143,7 @@
     def _move(self, service, wanted, load_by_region):
         jump = self._has_jumped(service, load_by_region)
         held = self.shares_by_service.get(service, {})
-        moved = wanted if jump else step(held, wanted, PLAN_PAUSE_S)
+        moved = wanted if jump else step(held, wanted, UPDATE_INTERVAL_S)
         self.shares_by_service[service] = moved
         self._log(service, moved, jump, load_by_region)
 
@@ -162,12 +164,12 @@
         )
 
     def _log(self, service, shares, jump, load_by_region):
-        told = self._told_by_service.get(service, {})
-        names = told.keys() | shares.keys()
-        change = sum(abs(shares.get(n, 0.0) - told.get(n, 0.0)) for n in names)
-        if change < TOLD_CHANGE:
+        logged = self._logged_by_service.get(service, {})
+        names = logged.keys() | shares.keys()
+        change = sum(abs(shares.get(n, 0.0) - logged.get(n, 0.0)) for n in names)
+        if change < LOG_CHANGE:
             return
-        self._told_by_service[service] = shares
+        self._logged_by_service[service] = shares
         log_message(
             "chooser:shares",
             service=service,
--- a/godwitlanding/gateway/fartargets.py
+++ b/godwitlanding/gateway/remotetargets.py
@@ -15,17 +15,17 @@
     return [address.partition(":")[0] for address in addresses]
 
 
-class FarTargets:
+class RemoteTargets:
     """Picks them by the digests of their regions and by who told those."""
 
     def __init__(self, digests):
         self._digests = digests
-        self._teller_by_region = {}
+        self._sender_by_region = {}
         self._turn = 0
 
-    def note_teller(self, region, host):
+    def note_sender(self, region, host):
         """A VM of another region has told this one a digest."""
-        self._teller_by_region[region] = host
+        self._sender_by_region[region] = host
 
     def pick(self, hosts_by_region):
         """Return a few hosts of each region, given all that are listed.
@@ -42,10 +42,10 @@
         return targets
 
     def _pick_in(self, region, hosts):
-        teller = self._teller_by_region.get(region)
-        if teller not in hosts:
+        sender = self._sender_by_region.get(region)
+        if sender not in hosts:
             return {random.choice(hosts) for _ in range(TARGETS)}
         if self._turn % SPREAD_EVERY:
-            return {teller}
-        others = [host for host in hosts if host != teller]
-        return {teller, random.choice(others)} if others else {teller}
+            return {sender}
+        others = [host for host in hosts if host != sender]
+        return {sender, random.choice(others)} if others else {sender}
--- a/godwitlanding/gateway/savedmap.py
+++ b/godwitlanding/gateway/savedobjectmap.py
@@ -24,19 +24,19 @@
 from godwitlanding.decisions.objectmap import CacheEntry
 
 # Objects are learnt within seconds of a start, and few after that.
-SAVE_PAUSE_S = 4.0
+SAVE_INTERVAL_S = 4.0
 # 8 bytes each and a third for the encoding: half of the store's largest value.
-MAX_MEETINGS = 40_000
+MAX_CACHE_ENTRIES = 40_000
 _PAIR = struct.Struct("<II")
 
 
-def encode_meetings(meetings):
+def encode_cache_entries(meetings):
     """Return meetings as an object's value."""
     data = b"".join(_PAIR.pack(*cache_entry) for cache_entry in meetings)
     return orjson.dumps({"met": base64.b64encode(data).decode()})
 
 
-def decode_meetings(value):
+def decode_cache_entries(value):
     """Return the meetings in an object's value.
 
     Raises ``ValueError``, ``KeyError`` or ``TypeError`` for any other bytes.
@@ -49,7 +49,7 @@
         raise ValueError(f"no meetings: {error}") from None
 
 
-class SavedMap(Service):
+class SavedObjectMap(Service):
     """Reads the map at the start, and writes it where this VM is the first."""
 
     name = "savedmap"
@@ -89,8 +89,8 @@
     async def _run(self):
         await self._read()
         while True:
-            await asyncio.sleep(SAVE_PAUSE_S)
-            if self._peers.speaks_first():
+            await asyncio.sleep(SAVE_INTERVAL_S)
+            if self._peers.is_first_representative():
                 await self._save()
 
     async def _read(self):
@@ -114,7 +114,7 @@
 
     def _decode(self, stored):
         try:
-            return decode_meetings(stored.value)
+            return decode_cache_entries(stored.value)
         except (ValueError, KeyError, TypeError) as error:
             log_message(
                 "savedmap:unreadable",
@@ -128,14 +128,14 @@
     async def _save(self):
         meetings = [
             cache_entry
-            for cache_entry in self._object_map.get_cache_entries(MAX_MEETINGS)
-            if self._is_near(cache_entry.upstream)
+            for cache_entry in self._object_map.get_cache_entries(MAX_CACHE_ENTRIES)
+            if self._is_in_region(cache_entry.upstream)
         ]
         if frozenset(meetings) == self._saved:
             return
         if self._version is None and not await self._find_version():
             return
-        value = encode_meetings(meetings)
+        value = encode_cache_entries(meetings)
         written = await self._store.put(self._kind, self._region, value, self._version)
         if written.is_err():
             # Another VM was the first for a while, or the answer was lost.
@@ -150,7 +150,7 @@
         self._saved = frozenset(meetings)
         log_message("savedmap:saved", meetings=len(meetings), version=self._version)
 
-    def _is_near(self, number):
+    def _is_in_region(self, number):
         upstream = self._registry.upstream_by_id.get(
             self._registry.id_by_number.get(number)
         )
--- a/godwitlanding/gateway/reader.py
+++ b/godwitlanding/gateway/sourceselector.py
@@ -21,12 +21,12 @@
     may_rest,
     should_read,
 )
-from godwitlanding.gateway.bulletin import StoreState
+from godwitlanding.gateway.gossipmessage import StoreState
 
-LOOK_PAUSE_S = 0.2
+CHECK_INTERVAL_S = 0.2
 
 
-class Reader(Service):
+class SourceSelector(Service):
     """Starts and stops the mirrors, and names the feed's source.
 
     At its start a VM reads every list at once, whoever else does: after a
@@ -44,22 +44,22 @@
         self._feed = feed
         self._mirrors = sorted(mirrors, key=lambda mirror: mirror.kind)
         self._tasks = []
-        self._may_read = False
+        self._may_decide_reading = False
         self._failed_until = 0.0
-        self._read_at = 0.0
-        self._in_touch_at = 0.0
+        self._reader_seen_at = 0.0
+        self._current_at = 0.0
         self._behind_since = None
-        self._catches_up = False
+        self._is_catching_up = False
         self._distrusted_until_by_host = {}
 
     async def start(self, kernel):
         """Begin to decide."""
         self._feed.reads = self.reads
-        self._read_at = _now()
-        self._in_touch_at = _now()
+        self._reader_seen_at = _now()
+        self._current_at = _now()
         self._tasks = [
             start_task(self._read_lists()),
-            start_task(self._decide_often()),
+            start_task(self._decide_periodically()),
         ]
 
     async def stop(self):
@@ -80,16 +80,16 @@
 
     def is_fresh(self):
         """Tell whether changes in the store reach this VM within moments."""
-        if self.reads() or self._feed.has_source():
+        if self.reads() or self._feed.has_reading_source():
             return True
         # At the start, until it is decided who reads.
         return all(
-            mirror.begins_old or mirror.is_just_listed() for mirror in self._mirrors
+            mirror.begins_old or mirror.was_just_listed() for mirror in self._mirrors
         )
 
-    def get_out_of_touch_s(self):
+    def get_staleness_s(self):
         """Return the seconds for which no change can have reached this VM."""
-        return _now() - self._in_touch_at
+        return _now() - self._current_at
 
     def get_store_state(self):
         """Return what the peers are told."""
@@ -109,42 +109,42 @@
         reached = asyncio.get_running_loop().create_future()
         answered = await asyncio.gather(
             self._read_fresh(fresh, reached),
-            *(mirror.read_once(reached) for mirror in old),
+            *(mirror.list_once(reached) for mirror in old),
         )
         if not all(answered):
             self._failed_until = _now() + FAILED_S
         await asyncio.sleep(START_WAIT_S)
-        self._read_at = _now()
-        self._may_read = True
+        self._reader_seen_at = _now()
+        self._may_decide_reading = True
 
     async def _read_fresh(self, mirrors, reached):
         """Read lists, and tell ``reached`` up to which version they go."""
-        answered = await asyncio.gather(*(mirror.read_once() for mirror in mirrors))
+        answered = await asyncio.gather(*(mirror.list_once() for mirror in mirrors))
         is_known = bool(mirrors) and all(answered)
         reached.set_result(max(m.revision for m in mirrors) if is_known else None)
         return all(answered)
 
-    async def _decide_often(self):
+    async def _decide_periodically(self):
         while True:
             self._decide()
-            await asyncio.sleep(LOOK_PAUSE_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     def _decide(self):
         now = _now()
         if self.reads() or self._is_fed_by_reader():
-            self._in_touch_at = now
+            self._current_at = now
         neighbour_by_vm = self._get_neighbours()
         if any(neighbour.reads for neighbour in neighbour_by_vm.values()):
-            self._read_at = now
+            self._reader_seen_at = now
         near = [self._fleet.peer_by_vm[vm] for vm in neighbour_by_vm]
         order = get_order([self._own, *near])
-        if self._may_read:
+        if self._may_decide_reading:
             self._decide_reading(order, neighbour_by_vm, now)
         self._decide_source(order, neighbour_by_vm, now)
 
     def _is_fed_by_reader(self):
         peers = self._fleet.peer_by_vm.values()
-        return self._feed.has_source() and any(
+        return self._feed.has_reading_source() and any(
             peer.reads for peer in peers if peer.host == self._feed.source
         )
 
@@ -159,7 +159,7 @@
         if self._is_lost():
             self._failed_until = now + FAILED_S
         own = Neighbour(self._own.vm, self.reads(), self._has_failed())
-        nobody_for_s = now - self._read_at
+        nobody_for_s = now - self._reader_seen_at
         wanted = should_read(own, order, neighbour_by_vm, nobody_for_s)
         is_following = self._mirrors[0].is_following()
         if wanted != is_following:
@@ -177,14 +177,14 @@
             self._follow_store(own, neighbour_by_vm)
         else:
             for mirror in self._mirrors:
-                mirror.rest()
+                mirror.stop_following()
 
     def _follow_store(self, own, neighbour_by_vm):
         # Whether the store has been away is known from those that it did not
         # answer; a reader that was lost itself says nothing of the store.
         neighbours = [own, *neighbour_by_vm.values()]
         was_away = any(neighbour.failed for neighbour in neighbours)
-        lost_at = self._read_at if was_away else None
+        lost_at = self._reader_seen_at if was_away else None
         first, *others = self._mirrors
         first.follow(lost_at)
         # One call tells whether the store is there. Where all four asked
@@ -194,20 +194,20 @@
             if first.has_answered and not first.is_lost:
                 mirror.follow(lost_at)
             elif first.is_lost:
-                mirror.rest()
+                mirror.stop_following()
 
     def _decide_source(self, order, neighbour_by_vm, now):
         newer = self._find_newer()
         if not newer:
             self._behind_since = None
-            self._catches_up = False
+            self._is_catching_up = False
         elif self._behind_since is None:
             self._behind_since = now
         elif now - self._behind_since > BEHIND_S:
             self._behind_since = now
-            self._catches_up = True
+            self._is_catching_up = True
             self._catch_up(newer, now)
-        if self._catches_up:
+        if self._is_catching_up:
             return
         if self.reads():
             self._feed.follow("")
@@ -246,7 +246,7 @@
         self._distrusted_until_by_host.pop(host, None)
         for mirror in self._mirrors:
             if mirror.kind in kinds and mirror.is_following():
-                mirror.rest()
+                mirror.stop_following()
                 mirror.follow()
         self._feed.follow("")
         self._feed.follow(host)
--- a/godwitlanding/gateway/workspacegauges.py
+++ b/godwitlanding/gateway/workspacegauges.py
@@ -4,7 +4,7 @@
 metrics; whoever is refused is most often among those that ask for most.
 """
 
-MOST_SHOWN = 8
+MAX_SHOWN = 8
 OTHERS = "others"
 
 
@@ -23,9 +23,9 @@
         """Return a field of each workspace that is shown, by its name."""
         status = self._allotments.get_status()
         order = sorted(status, key=lambda name: -status[name]["asked_per_s"])
-        shown = {name: status[name][field] for name in order[:MOST_SHOWN]}
-        if len(order) > MOST_SHOWN:
-            shown[OTHERS] = sum(status[name][field] for name in order[MOST_SHOWN:])
+        shown = {name: status[name][field] for name in order[:MAX_SHOWN]}
+        if len(order) > MAX_SHOWN:
+            shown[OTHERS] = sum(status[name][field] for name in order[MAX_SHOWN:])
         return shown
 
     def _make_reader(self, field):
--- a/godwitlanding/program.py
+++ b/godwitlanding/program.py
@@ -23,21 +23,21 @@
 from godwitlanding.decisions.retrybudget import RetryBudget
 from godwitlanding.decisions.worktime import WorkTimes
 from godwitlanding.gateway.admission import Admission, Reach
-from godwitlanding.gateway.allotmentnews import AllotmentNews
+from godwitlanding.gateway.allotmentgossip import AllotmentGossip
 from godwitlanding.gateway.carrier import Carrier
 from godwitlanding.gateway.chooser import Chooser
 from godwitlanding.gateway.courier import Courier
 from godwitlanding.gateway.directory import Directory
 from godwitlanding.gateway.feed import Feed
 from godwitlanding.gateway.front import Front
-from godwitlanding.gateway.limitnews import LimitNews
+from godwitlanding.gateway.limitgossip import LimitGossip
 from godwitlanding.gateway.mirror import Mirror
 from godwitlanding.gateway.pages import Page, PageServer
 from godwitlanding.gateway.peers import Peers
 from godwitlanding.gateway.presence import Presence
-from godwitlanding.gateway.reader import Reader
 from godwitlanding.gateway.registry import Registry
-from godwitlanding.gateway.savedmap import SavedMap
+from godwitlanding.gateway.savedobjectmap import SavedObjectMap
+from godwitlanding.gateway.sourceselector import SourceSelector
 from godwitlanding.gateway.upstream import UpstreamPool
 from godwitlanding.gateway.workspacegauges import WorkspaceGauges
 from godwitlanding.platform.endpoints import make_directory, make_readiness
@@ -98,7 +98,7 @@
             loop.time(),
         )
         WorkspaceGauges(self.allotments, counters)
-        self.limits = LimitNews(
+        self.limits = LimitGossip(
             self.registry, settings.region, settings.region_by_zone.values(), counters
         )
         self.peers = Peers(
@@ -107,7 +107,7 @@
             self.occupancy,
             self._record_crash,
             self.object_map,
-            AllotmentNews(self.allotments),
+            AllotmentGossip(self.allotments),
             self.limits,
         )
         self.peers.is_ready = self.is_ready
@@ -152,12 +152,12 @@
             on_known=self._note_vms_known,
         )
         self.mirrors = self._make_mirrors()
-        self.saved_map = SavedMap(
+        self.saved_map = SavedObjectMap(
             self.store, OBJECT_MAP_KIND, settings.region, self.object_map
         )
         self.vm_mirror.on_restored.append(self.saved_map.note_restored)
         self.feed = Feed(settings, self.mirrors, counters)
-        self.reader = Reader(
+        self.reader = SourceSelector(
             settings,
             self.fleet,
             self.peers.digests,
@@ -254,7 +254,7 @@
         bounds = self._settings.bounds
         if not bounds.strict_revoke:
             return True
-        return self.reader.get_out_of_touch_s() <= bounds.revoke_s
+        return self.reader.get_staleness_s() <= bounds.revoke_s
 
     def _record_crash(self, crash):
         self.poison.note_report(crash.fingerprint, crash.upstream, 1, self._now())
@@ -291,12 +291,14 @@
         self.registry.set_evacuated(name, value is not None)
 
     def _note_vms_known(self):
-        self.presence.note_held(self.vm_mirror.get_confirmed(self._settings.vm))
+        self.presence.note_stored_object(
+            self.vm_mirror.get_confirmed(self._settings.vm)
+        )
 
     def _apply_vm(self, name, version, value):
         if value is None:
             if name == self._settings.vm:
-                self.presence.note_held(None)
+                self.presence.note_stored_object(None)
             self.peers.note_vm(name, None, "")
             return
         try:
--- a/godwitlanding/tests/decisions/test_fleet.py
+++ b/godwitlanding/tests/decisions/test_fleet.py
@@ -11,7 +11,7 @@
     choose_addresses,
     pick_carriers,
 )
-from godwitlanding.tests.support_fleet import make_bulletin, make_fleet, make_peer
+from godwitlanding.tests.support_fleet import make_fleet, make_gossip_message, make_peer
 
 OWN = make_peer("own")
 STRONG = Capacity(100.0, 2.15)
@@ -23,20 +23,25 @@
     ("bulletins", "own_usable", "expected"),
     [
         pytest.param([], True, ["own:1"], id="alone"),
-        pytest.param([make_bulletin("a")], True, ["a:1", "own:1"], id="both"),
+        pytest.param([make_gossip_message("a")], True, ["a:1", "own:1"], id="both"),
         pytest.param(
-            [make_bulletin("a", ready=False)], True, ["own:1"], id="not ready"
+            [make_gossip_message("a", ready=False)], True, ["own:1"], id="not ready"
         ),
-        pytest.param([make_bulletin("a", leaving=True)], True, ["own:1"], id="leaving"),
-        pytest.param([make_bulletin("a")], False, ["a:1"], id="this one stops"),
         pytest.param(
-            [make_bulletin("a"), make_bulletin("b", region="far")],
+            [make_gossip_message("a", leaving=True)], True, ["own:1"], id="leaving"
+        ),
+        pytest.param([make_gossip_message("a")], False, ["a:1"], id="this one stops"),
+        pytest.param(
+            [make_gossip_message("a"), make_gossip_message("b", region="far")],
             True,
             ["a:1", "own:1"],
             id="own region only",
         ),
         pytest.param(
-            [make_bulletin("b", region="far")], False, ["b:1"], id="nobody else is left"
+            [make_gossip_message("b", region="far")],
+            False,
+            ["b:1"],
+            id="nobody else is left",
         ),
         pytest.param([], False, [], id="nobody"),
     ],
@@ -103,8 +108,8 @@
 
 def test_own_callers_count_as_load():
     fleet = make_fleet(
-        *(make_bulletin(f"w{n}", capacity=WEAK) for n in range(40)),
-        make_bulletin("w40", capacity=WEAK, rate_by_service={"s": 100.0}),
+        *(make_gossip_message(f"w{n}", capacity=WEAK) for n in range(40)),
+        make_gossip_message("w40", capacity=WEAK, rate_by_service={"s": 100.0}),
     )
     own = OWN._replace(capacity=WEAK)
     assert len(choose_addresses(own, fleet, "r")) == MIN_CARRIERS
@@ -125,19 +130,22 @@
 def test_weak_vms_are_named_when_the_strong_ones_are_lost():
     # All strong VMs of a region lose their power. Callers of that region
     # would be sent far away while the weak ones there are idle.
-    bulletins = [make_bulletin(f"s{n}", capacity=STRONG) for n in range(3)]
-    bulletins += [make_bulletin("w", capacity=WEAK), make_bulletin("v", capacity=WEAK)]
+    bulletins = [make_gossip_message(f"s{n}", capacity=STRONG) for n in range(3)]
+    bulletins += [
+        make_gossip_message("w", capacity=WEAK),
+        make_gossip_message("v", capacity=WEAK),
+    ]
     fleet = make_fleet(*bulletins)
     assert choose_addresses(None, fleet, "r") == ["s0:1", "s1:1", "s2:1"]
     for n in range(3):
-        fleet.hear(make_bulletin(f"s{n}", sequence=2, ready=False), "", 0.1)
+        fleet.hear(make_gossip_message(f"s{n}", sequence=2, ready=False), "", 0.1)
     assert choose_addresses(None, fleet, "r") == ["v:1", "w:1"]
 
 
 def test_silent_vm_is_named_no_longer():
     # A VM loses its power and says nothing. Callers that are sent to it wait
     # a second for a connection, again and again.
-    fleet = make_fleet(make_bulletin("a"))
+    fleet = make_fleet(make_gossip_message("a"))
     assert fleet.drop_silent(SILENT_S - 0.1) == []
     assert [peer.vm for peer in fleet.drop_silent(SILENT_S + 0.1)] == ["a"]
     assert fleet.get_usable("r") == []
@@ -146,7 +154,7 @@
 def test_vm_that_carries_nothing_may_be_silent_for_longer():
     # It is heard once in a round only. Taken for dead in between, it would be
     # missing when those that carry the requests are lost.
-    fleet = make_fleet(make_bulletin("a", active=False))
+    fleet = make_fleet(make_gossip_message("a", active=False))
     assert fleet.drop_silent(IDLE_SILENT_S - 0.1) == []
     assert [peer.vm for peer in fleet.drop_silent(IDLE_SILENT_S + 0.1)] == ["a"]
 
@@ -163,8 +171,8 @@
 def test_late_datagram_does_not_undo_a_newer_one(late, taken):
     # A VM says that it leaves, and an older datagram arrives afterwards.
     # Believed, callers would be sent to a VM that is about to end.
-    fleet = make_fleet(make_bulletin("a", sequence=5, leaving=True))
-    assert fleet.hear(make_bulletin("a", **late), "a:1", 0.1) is taken
+    fleet = make_fleet(make_gossip_message("a", sequence=5, leaving=True))
+    assert fleet.hear(make_gossip_message("a", **late), "a:1", 0.1) is taken
     assert bool(fleet.get_usable("r")) is taken
 
 
--- a/godwitlanding/tests/gateway/test_chooser.py
+++ b/godwitlanding/tests/gateway/test_chooser.py
@@ -25,9 +25,9 @@
 from godwitlanding.decisions.worktime import Warmth, WorkTimes
 from godwitlanding.gateway.attempt import Work
 from godwitlanding.gateway.chooser import OVERFLOW_SHARE, Chooser, Rejection
-from godwitlanding.gateway.limitnews import LimitNews
+from godwitlanding.gateway.limitgossip import LimitGossip
 from godwitlanding.gateway.registry import Registry, Upstream
-from godwitlanding.tests.support_fleet import CAPACITY, make_bulletin, make_fleet
+from godwitlanding.tests.support_fleet import CAPACITY, make_fleet, make_gossip_message
 
 pytestmark = pytest.mark.looptime
 
@@ -76,7 +76,7 @@
         self.occupancy = Occupancy()
         self.worktimes = WorkTimes()
         self.object_map = ObjectMap()
-        fleet = make_fleet(*(make_bulletin(peer, region="a") for peer in peers))
+        fleet = make_fleet(*(make_gossip_message(peer, region="a") for peer in peers))
         identity = SimpleNamespace(
             vm=vm,
             region="a",
@@ -85,7 +85,9 @@
             caller_address=("127.0.0.1", 1),
             capacity=CAPACITY,
         )
-        self.limits = LimitNews(self.registry, "a", REGION_BY_ZONE.values(), Counters())
+        self.limits = LimitGossip(
+            self.registry, "a", REGION_BY_ZONE.values(), Counters()
+        )
         self.chooser = Chooser(
             identity,
             self.occupancy,
@@ -103,8 +105,8 @@
     async def __aenter__(self):
         peers = SimpleNamespace(
             count_vms=lambda: 1,
-            get_rates=lambda service: dict(self._rates),
-            note_meeting=lambda cache_entry: self.object_map.note(
+            get_arrival_rates=lambda service: dict(self._rates),
+            note_cache_entry=lambda cache_entry: self.object_map.note(
                 cache_entry, asyncio.get_running_loop().time()
             ),
         )
--- a/godwitlanding/tests/gateway/test_courier.py
+++ b/godwitlanding/tests/gateway/test_courier.py
@@ -11,7 +11,7 @@
 from godwitlanding.decisions.worktime import WorkTimes
 from godwitlanding.gateway.attempt import Outcome
 from godwitlanding.gateway.courier import MOVED_EJECT_S, Courier
-from godwitlanding.gateway.limitnews import LimitNews
+from godwitlanding.gateway.limitgossip import LimitGossip
 from godwitlanding.gateway.registry import Registry, Upstream
 from godwitlanding.gateway.upstream import Answer
 from godwitlanding.platform.headers import HEADER_NAMES, read_self_report
@@ -53,7 +53,7 @@
         )
         self.registry = Registry({"a1": "a"})
         self.registry.put_upstream(UPSTREAM)
-        self.limits = LimitNews(self.registry, "a", ("a",), Counters())
+        self.limits = LimitGossip(self.registry, "a", ("a",), Counters())
         self.pool = SimpleNamespace(
             take=lambda upstream, idempotent: Connection(self.status, self.headers),
             give_back=lambda upstream, connection: None,
--- a/godwitlanding/tests/gateway/test_feed.py
+++ b/godwitlanding/tests/gateway/test_feed.py
@@ -7,7 +7,7 @@
 
 from godwitlanding.base.metrics import Counters
 from godwitlanding.base.storetypes import StoredObject
-from godwitlanding.gateway.change import Change
+from godwitlanding.gateway.changeset import ChangeSet
 from godwitlanding.gateway.feed import MAX_PART_BYTES, Feed
 from godwitlanding.gateway.mirror import Mirror
 from godwitlanding.tests.tools.network import claim_world_prefix
@@ -58,11 +58,11 @@
 
 async def test_vm_is_fed_what_there_is_and_what_comes(vms):
     source, fed, _ = vms
-    source.mirror.take_over(Change(5, 5, (make_object("a"),), (), True))
+    source.mirror.apply_change_set(ChangeSet(5, 5, (make_object("a"),), (), True))
     fed.feed.follow(source.ip)
     await wait_until(lambda: fed.held == {"a": b"v"})
     assert fed.mirror.revision == 5
-    source.mirror.take_over(Change(8, 8, (make_object("b", 8),), ("a",)))
+    source.mirror.apply_change_set(ChangeSet(8, 8, (make_object("b", 8),), ("a",)))
     await wait_until(lambda: fed.held == {"b": b"v"})
 
 
@@ -73,30 +73,30 @@
     third.feed.follow(second.ip)
     second.feed.follow(first.ip)
     await wait_until(lambda: third.feed.source and second.feed.source)
-    first.mirror.take_over(Change(5, 5, (make_object("a"),), (), True))
+    first.mirror.apply_change_set(ChangeSet(5, 5, (make_object("a"),), (), True))
     await wait_until(lambda: third.held == {"a": b"v"})
 
 
 async def test_large_states_come_in_parts(vms):
     source, fed, _ = vms
-    fed.mirror.take_over(Change(3, 3, (make_object("old"),), (), True))
+    fed.mirror.apply_change_set(ChangeSet(3, 3, (make_object("old"),), (), True))
     value = b"x" * (MAX_PART_BYTES // 2)
     objects = tuple(make_object(f"n{number}", 4, value) for number in range(5))
-    source.mirror.take_over(Change(5, 5, objects, (), True))
+    source.mirror.apply_change_set(ChangeSet(5, 5, objects, (), True))
     fed.feed.follow(source.ip)
     await wait_until(lambda: len(fed.held) == 5 and "old" not in fed.held)
 
 
 async def test_vm_that_knows_all_is_sent_nothing(vms):
     source, fed, _ = vms
-    change = Change(5, 5, (make_object("a"),), (), True)
-    source.mirror.take_over(change)
-    fed.mirror.take_over(change)
+    change_set = ChangeSet(5, 5, (make_object("a"),), (), True)
+    source.mirror.apply_change_set(change_set)
+    fed.mirror.apply_change_set(change_set)
     taken = []
-    fed.mirror.take_over = taken.append
+    fed.mirror.apply_change_set = taken.append
     fed.feed.follow(source.ip)
     source.feed.reads = lambda: True
-    await wait_until(fed.feed.has_source)
+    await wait_until(fed.feed.has_reading_source)
     assert taken == []
 
 
@@ -104,10 +104,10 @@
     source, fed, _ = vms
     source.feed.reads = lambda: True
     fed.feed.follow(source.ip)
-    await wait_until(fed.feed.has_source)
+    await wait_until(fed.feed.has_reading_source)
     await source.feed.stop()
     await wait_until(lambda: not fed.feed.source)
-    assert not fed.feed.has_source()
+    assert not fed.feed.has_reading_source()
 
 
 async def test_silent_source_is_left(vms):
@@ -116,18 +116,18 @@
     source, fed, _ = vms
     source.feed.reads = lambda: True
     fed.feed.follow(source.ip)
-    await wait_until(fed.feed.has_source)
-    source.feed._sign_task.cancel()
-    await wait_until(lambda: not fed.feed.has_source())
+    await wait_until(fed.feed.has_reading_source)
+    source.feed._heartbeat_task.cancel()
+    await wait_until(lambda: not fed.feed.has_reading_source())
 
 
 async def test_source_that_cannot_read_says_so(vms):
     source, fed, _ = vms
     source.feed.reads = lambda: True
     fed.feed.follow(source.ip)
-    await wait_until(fed.feed.has_source)
+    await wait_until(fed.feed.has_reading_source)
     source.feed.reads = lambda: False
-    await wait_until(lambda: not fed.feed.has_source())
+    await wait_until(lambda: not fed.feed.has_reading_source())
     assert fed.feed.source == source.ip
 
 
@@ -140,11 +140,11 @@
 async def test_former_source_is_not_listened_to(vms):
     first, second, fed = vms
     fed.feed.follow(first.ip)
-    await wait_until(lambda: first.feed._fed)
+    await wait_until(lambda: first.feed._followers)
     fed.feed.follow(second.ip)
-    await wait_until(lambda: second.feed._fed)
-    first.mirror.take_over(Change(5, 5, (make_object("a"),), (), True))
-    second.mirror.take_over(Change(6, 6, (make_object("b", 6),), (), True))
+    await wait_until(lambda: second.feed._followers)
+    first.mirror.apply_change_set(ChangeSet(5, 5, (make_object("a"),), (), True))
+    second.mirror.apply_change_set(ChangeSet(6, 6, (make_object("b", 6),), (), True))
     await wait_until(lambda: fed.held)
     await asyncio.sleep(0.1)
     assert fed.held == {"b": b"v"}
@@ -155,9 +155,9 @@
     # revision tells of that; a VM that was not fed at that moment would send
     # to an address that may be another service's by then.
     source, fed, _ = vms
-    change = Change(5, 5, (make_object("a"), make_object("b")), (), True)
-    source.mirror.take_over(change)
-    fed.mirror.take_over(change)
+    change_set = ChangeSet(5, 5, (make_object("a"), make_object("b")), (), True)
+    source.mirror.apply_change_set(change_set)
+    fed.mirror.apply_change_set(change_set)
     source.mirror._drop("a")
     fed.feed.follow(source.ip)
     await wait_until(lambda: fed.held == {"b": b"v"})
--- a/godwitlanding/tests/gateway/test_bulletin.py
+++ b/godwitlanding/tests/gateway/test_gossipmessage.py
@@ -5,13 +5,13 @@
 from godwitlanding.decisions.digest import Crash, Digest
 from godwitlanding.decisions.fleet import Capacity
 from godwitlanding.decisions.ratelimit import LimitedUpstream, LimitRow
-from godwitlanding.gateway.bulletin import (
-    Bulletin,
-    decode_bulletin,
-    encode_bulletin,
+from godwitlanding.gateway.gossipmessage import (
+    GossipMessage,
+    decode_message,
+    encode_message,
 )
 
-BULLETIN = Bulletin(
+MESSAGE = GossipMessage(
     vm="a",
     incarnation=2**62,
     sequence=7,
@@ -49,7 +49,7 @@
 
 
 def test_bulletin_comes_back_as_it_was():
-    assert decode_bulletin(encode_bulletin(BULLETIN)) == BULLETIN
+    assert decode_message(encode_message(MESSAGE)) == MESSAGE
 
 
 @pytest.mark.parametrize("data", [b"\xff" * 40, b"GET / HTTP/1.1\r\n\r\n", b"\x10"])
@@ -57,4 +57,4 @@
     # Anything may arrive on an open port. An error that nobody expects would
     # end what listens there.
     with pytest.raises(ValueError):
-        decode_bulletin(data)
+        decode_message(data)
--- a/godwitlanding/tests/gateway/test_mirror.py
+++ b/godwitlanding/tests/gateway/test_mirror.py
@@ -14,7 +14,7 @@
     make_version,
 )
 from godwitlanding.decisions.lapse import BACK_WITHIN_S, RETURNED_S, LapseGuard
-from godwitlanding.gateway.change import Change
+from godwitlanding.gateway.changeset import ChangeSet
 from godwitlanding.gateway.mirror import Mirror
 
 pytestmark = pytest.mark.looptime
@@ -183,13 +183,13 @@
 
 def whole(revision, *objects):
     changed_at = max((stored.version for stored in objects), default=0)
-    return Change(revision, changed_at, objects, (), True)
+    return ChangeSet(revision, changed_at, objects, (), True)
 
 
 # What is held when another VM's mirror tells first one thing, then another.
 FEEDS = (
     pytest.param(
-        [whole(5, make_object("a")), Change(7, 7, (make_object("b", 7),), ("a",))],
+        [whole(5, make_object("a")), ChangeSet(7, 7, (make_object("b", 7),), ("a",))],
         {"b"},
         id="change by change",
     ),
@@ -211,7 +211,7 @@
     pytest.param(
         [
             whole(5, make_object("a")),
-            Change(9, 9, (), ("a",)),
+            ChangeSet(9, 9, (), ("a",)),
             whole(12, make_object("a", 11)),
         ],
         {"a"},
@@ -225,8 +225,8 @@
     # A VM is fed by one neighbour and then by another that is behind. If it
     # took its word, it would send to upstreams that have left.
     mirror, _, held = make_mirror()
-    for change in changes:
-        mirror.take_over(change)
+    for change_set in changes:
+        mirror.apply_change_set(change_set)
     assert set(held) == expected
 
 
@@ -237,7 +237,7 @@
     mirror, _, held = make_mirror(listed(5), after_s(1, watched(7, event)))
     mirror.follow()
     await asyncio.sleep(0.5)
-    mirror.take_over(Change(9, 9, (), ("b",)))
+    mirror.apply_change_set(ChangeSet(9, 9, (), ("b",)))
     await asyncio.sleep(1)
     assert held == {}
     await mirror.stop()
@@ -256,9 +256,9 @@
         listed(9, make_object("a", 5), make_object("b", 8)),
         begins_old=True,
     )
-    assert await mirror.read_once()
+    assert await mirror.list_once()
     assert set(held) == {"a", "gone"}
-    assert not mirror.is_just_listed()
+    assert not mirror.was_just_listed()
     mirror.follow()
     await asyncio.sleep(1)
     assert set(held) == {"a", "b"}
@@ -273,9 +273,9 @@
     mirror, _, held = make_mirror(
         listed_old(9, make_object("a", 5), make_object("gone", 4)), begins_old=True
     )
-    await mirror.read_once()
+    await mirror.list_once()
     assert mirror.revision == 5
-    mirror.take_over(Change(9, 9, (make_object("b", 8),), ("gone",)))
+    mirror.apply_change_set(ChangeSet(9, 9, (make_object("b", 8),), ("gone",)))
     assert set(held) == {"a", "b"}
 
 
@@ -284,9 +284,9 @@
     mirror, _, held = make_mirror(
         after_s(1, listed_old(9, make_object("gone", 4))), begins_old=True
     )
-    reading = asyncio.create_task(mirror.read_once())
+    reading = asyncio.create_task(mirror.list_once())
     await asyncio.sleep(0.5)
-    mirror.take_over(whole(9, make_object("a", 5)))
+    mirror.apply_change_set(whole(9, make_object("a", 5)))
     assert await reading
     assert set(held) == {"a"}
 
@@ -303,23 +303,23 @@
             whole(restored(4), make_object("a", restored(3), b"new")), id="whole"
         ),
         pytest.param(
-            Change(restored(4), restored(3), (make_object("a", restored(3)),), ()),
+            ChangeSet(restored(4), restored(3), (make_object("a", restored(3)),), ()),
             id="news",
         ),
     ],
 )
-async def test_neighbour_tells_that_the_store_was_restored(change):
+async def test_neighbour_tells_that_the_store_was_restored(change_set):
     mirror, _, held = make_mirror()
     calls = []
     mirror.on_restored.append(lambda: calls.append(mirror.revision))
-    mirror.take_over(whole(9, make_object("a", 9, b"lost")))
-    mirror.take_over(change)
-    mirror.take_over(change)
+    mirror.apply_change_set(whole(9, make_object("a", 9, b"lost")))
+    mirror.apply_change_set(change_set)
+    mirror.apply_change_set(change_set)
     assert calls == [9]
-    assert held == {"a": change.objects[0].value}
+    assert held == {"a": change_set.objects[0].value}
     # Another one has not noticed yet.
-    mirror.take_over(whole(12, make_object("a", 12, b"lost")))
-    assert held == {"a": change.objects[0].value}
+    mirror.apply_change_set(whole(12, make_object("a", 12, b"lost")))
+    assert held == {"a": change_set.objects[0].value}
     assert mirror.revision == restored(4)
 
 
@@ -339,7 +339,7 @@
         begins_old=True,
     )
     future = asyncio.get_running_loop().create_future()
-    reading = asyncio.create_task(mirror.read_once(future))
+    reading = asyncio.create_task(mirror.list_once(future))
     await asyncio.sleep(0.1)
     future.set_result(reached)
     assert await reading
@@ -367,13 +367,13 @@
 
 async def test_entry_that_is_written_after_the_store_was_restored_counts_at_once():
     mirror, _, held = make_mirror(guard=LapseGuard())
-    mirror.take_over(whole(8, make_object("back", 3)))
-    mirror.take_over(whole(9))
+    mirror.apply_change_set(whole(8, make_object("back", 3)))
+    mirror.apply_change_set(whole(9))
     assert not held
-    mirror.take_over(whole(restored(4), make_object("back", restored(3))))
+    mirror.apply_change_set(whole(restored(4), make_object("back", restored(3))))
     assert not held
     written = make_object("back", restored(5))
-    mirror.take_over(Change(restored(5), restored(5), (written,), ()))
+    mirror.apply_change_set(ChangeSet(restored(5), restored(5), (written,), ()))
     assert set(held) == {"back"}
     await mirror.stop()
 
@@ -404,10 +404,10 @@
 
 async def test_object_is_not_confirmed_until_the_restored_store_has_it():
     mirror, _, _ = make_mirror(guard=LapseGuard(expires=False))
-    mirror.take_over(whole(8, make_object("own", 8)))
+    mirror.apply_change_set(whole(8, make_object("own", 8)))
     assert mirror.get_confirmed("own")
     other = make_object("other", restored(3))
-    mirror.take_over(Change(restored(4), restored(3), (other,), ()))
+    mirror.apply_change_set(ChangeSet(restored(4), restored(3), (other,), ()))
     assert not mirror.get_confirmed("own")
     await mirror.stop()
 
@@ -419,7 +419,7 @@
     )
     calls = []
     mirror.on_restored.append(lambda: calls.append(mirror.revision))
-    await mirror.read_once()
+    await mirror.list_once()
     mirror.follow()
     await asyncio.sleep(0.1)
     assert mirror.revision == restored(5)
@@ -433,7 +433,7 @@
         listed(5, make_object("a")), watched(9, event), watched(10), watched(11, gone)
     )
     told = []
-    mirror.on_change.append(lambda _, change: told.append(change))
+    mirror.on_change.append(lambda _, change_set: told.append(change_set))
     mirror.follow()
     await asyncio.sleep(3)
     assert [(c.revision, [o.name for o in c.objects], c.removed) for c in told] == [
--- a/godwitlanding/tests/gateway/test_mirror_states.py
+++ b/godwitlanding/tests/gateway/test_mirror_states.py
@@ -22,7 +22,7 @@
     make_version,
 )
 from godwitlanding.decisions.lapse import RETURNED_S, LapseGuard
-from godwitlanding.gateway.mirror import MAX_PAUSE_S, WATCH_S, Mirror
+from godwitlanding.gateway.mirror import MAX_BACKOFF_S, WATCH_TIMEOUT_S, Mirror
 
 pytestmark = pytest.mark.looptime
 
@@ -30,7 +30,7 @@
 NAMES = "abcde"
 STEPS = 40
 # The longest time for which a mirror may not have noticed.
-SETTLE_S = WATCH_S + MAX_PAUSE_S + RETURNED_S + 1.0
+SETTLE_S = WATCH_TIMEOUT_S + MAX_BACKOFF_S + RETURNED_S + 1.0
 LOOK_S = 0.05
 
 
@@ -150,7 +150,7 @@
     store = ModelStore()
     reading, held = make_mirror(store, LapseGuard(expires))
     fed, fed_held = make_mirror(None, LapseGuard(expires))
-    reading.on_change.append(lambda _, change: fed.take_over(change))
+    reading.on_change.append(lambda _, change_set: fed.apply_change_set(change_set))
     reading.follow()
     await play(random.Random(seed), store)
     await asyncio.sleep(SETTLE_S)
--- a/godwitlanding/tests/gateway/test_savedmap.py
+++ b/godwitlanding/tests/gateway/test_savedobjectmap.py
@@ -10,11 +10,11 @@
 from godwitlanding.base.storetypes import Snapshot, StoredObject
 from godwitlanding.decisions.objectmap import CacheEntry, ObjectMap
 from godwitlanding.gateway.registry import Registry, Upstream
-from godwitlanding.gateway.savedmap import (
-    SAVE_PAUSE_S,
-    SavedMap,
-    decode_meetings,
-    encode_meetings,
+from godwitlanding.gateway.savedobjectmap import (
+    SAVE_INTERVAL_S,
+    SavedObjectMap,
+    decode_cache_entries,
+    encode_cache_entries,
 )
 
 pytestmark = pytest.mark.looptime
@@ -73,11 +73,11 @@
             )
         self.near = self.registry.number_by_id["u"]
         self.far = self.registry.number_by_id["v"]
-        self.saved = SavedMap(store, KIND, "a", self.object_map)
+        self.saved = SavedObjectMap(store, KIND, "a", self.object_map)
         self._first = first
 
     async def __aenter__(self):
-        peers = SimpleNamespace(speaks_first=lambda: self._first)
+        peers = SimpleNamespace(is_first_representative=lambda: self._first)
         services = {"registry": self.registry, "peers": peers}
         await self.saved.start(SimpleNamespace(get=services.get))
         await asyncio.sleep(0.01)
@@ -98,7 +98,7 @@
     store = FakeStore()
     async with Vm(store) as vm:
         vm.learn(1, 2, 3)
-        await asyncio.sleep(SAVE_PAUSE_S + 0.1)
+        await asyncio.sleep(SAVE_INTERVAL_S + 0.1)
     async with Vm(store, first=False) as vm:
         assert vm.object_map.count_known(vm.near) == 3
         # Those of the other region are its own VMs' to save.
@@ -109,7 +109,7 @@
     store = FakeStore()
     async with Vm(store) as vm:
         vm.learn(1)
-        await asyncio.sleep(5 * SAVE_PAUSE_S + 0.1)
+        await asyncio.sleep(5 * SAVE_INTERVAL_S + 0.1)
     assert store.writes == 1
 
 
@@ -117,7 +117,7 @@
     store = FakeStore()
     async with Vm(store, first=False) as vm:
         vm.learn(1)
-        await asyncio.sleep(3 * SAVE_PAUSE_S)
+        await asyncio.sleep(3 * SAVE_INTERVAL_S)
     assert store.writes == 0
 
 
@@ -128,16 +128,16 @@
     store = FakeStore()
     async with Vm(store) as vm:
         vm.learn(1)
-        await asyncio.sleep(SAVE_PAUSE_S + 0.1)
+        await asyncio.sleep(SAVE_INTERVAL_S + 0.1)
         if case == "other wrote":
             store.version_by_name["a"] = 77
         store.lost = case == "answer lost"
         store.code = Code.PLATFORM_UNAVAILABLE if case == "store away" else None
         vm.learn(2)
-        await asyncio.sleep(SAVE_PAUSE_S)
+        await asyncio.sleep(SAVE_INTERVAL_S)
         store.code = None
-        await asyncio.sleep(SAVE_PAUSE_S)
-    assert len(decode_meetings(store.value_by_name["a"])) == 2
+        await asyncio.sleep(SAVE_INTERVAL_S)
+    assert len(decode_cache_entries(store.value_by_name["a"])) == 2
 
 
 async def test_map_that_the_store_has_lost_is_saved_again():
@@ -145,12 +145,12 @@
     store = FakeStore()
     async with Vm(store) as vm:
         vm.learn(1)
-        await asyncio.sleep(SAVE_PAUSE_S + 0.1)
+        await asyncio.sleep(SAVE_INTERVAL_S + 0.1)
         store.value_by_name.clear()
         store.version_by_name.clear()
         vm.saved.note_restored()
-        await asyncio.sleep(SAVE_PAUSE_S)
-    assert len(decode_meetings(store.value_by_name["a"])) == 1
+        await asyncio.sleep(SAVE_INTERVAL_S)
+    assert len(decode_cache_entries(store.value_by_name["a"])) == 1
 
 
 @pytest.mark.parametrize(
@@ -161,13 +161,13 @@
     store.value_by_name["b"] = value
     store.version_by_name["b"] = 1
     with pytest.raises((ValueError, KeyError, TypeError)):
-        decode_meetings(value)
+        decode_cache_entries(value)
     async with Vm(store) as vm:
         vm.learn(1)
-        await asyncio.sleep(SAVE_PAUSE_S + 0.1)
+        await asyncio.sleep(SAVE_INTERVAL_S + 0.1)
     assert "a" in store.value_by_name
 
 
 def test_meetings_come_back_as_they_were():
     meetings = [CacheEntry(2**32 - 1, 0), CacheEntry(5, 7)]
-    assert decode_meetings(encode_meetings(meetings)) == meetings
+    assert decode_cache_entries(encode_cache_entries(meetings)) == meetings
--- a/godwitlanding/tests/operator/test_workspaces.py
+++ b/godwitlanding/tests/operator/test_workspaces.py
@@ -10,7 +10,7 @@
 from godwitlanding.decisions.allotment import Allotments, Tolerance
 from godwitlanding.decisions.routes import Workspace
 from godwitlanding.gateway.pages import Page, PageServer
-from godwitlanding.gateway.workspacegauges import MOST_SHOWN, OTHERS, WorkspaceGauges
+from godwitlanding.gateway.workspacegauges import MAX_SHOWN, OTHERS, WorkspaceGauges
 from godwitlanding.operator.workspaces import WorkspaceRow, read_rows
 from godwitlanding.tests.tools.network import claim_world_prefix
 
@@ -30,7 +30,7 @@
     assert read_rows("vm-1", TEXT) == [ROW]
 
 
-@pytest.mark.parametrize("workspaces", [0, 1, MOST_SHOWN, MOST_SHOWN + 3])
+@pytest.mark.parametrize("workspaces", [0, 1, MAX_SHOWN, MAX_SHOWN + 3])
 def test_those_that_ask_for_most_are_shown_by_name(workspaces):
     allotments = Allotments("a", ("a",), Tolerance(), 0.0)
     rows = [Workspace(f"w{number}", 100.0, 100.0) for number in range(workspaces)]
@@ -41,9 +41,9 @@
     allotments.update(1.0, 6.0)
     gauges = WorkspaceGauges(allotments, Counters())
     shown = gauges.read("sent")
-    assert len(shown) == min(workspaces, MOST_SHOWN + 1)
+    assert len(shown) == min(workspaces, MAX_SHOWN + 1)
     assert sum(shown.values()) == sum(range(1, workspaces + 1))
-    assert (OTHERS in shown) is (workspaces > MOST_SHOWN)
+    assert (OTHERS in shown) is (workspaces > MAX_SHOWN)
     if workspaces:
         assert shown[f"w{workspaces - 1}"] == workspaces
 
--- a/godwitlanding/tests/support_fleet.py
+++ b/godwitlanding/tests/support_fleet.py
@@ -1,14 +1,14 @@
 """VMs as tests describe them to each other."""
 
 from godwitlanding.decisions.fleet import Capacity, Fleet, Peer
-from godwitlanding.gateway.bulletin import Bulletin
+from godwitlanding.gateway.gossipmessage import GossipMessage
 
 CAPACITY = Capacity(1000.0, 0.86)
 
 
-def make_bulletin(vm, **changes):
+def make_gossip_message(vm, **changes):
     """Return what a VM in service says of itself, with ``changes``."""
-    bulletin = Bulletin(
+    message = GossipMessage(
         vm=vm,
         incarnation=1,
         sequence=1,
@@ -25,7 +25,7 @@
         failed=False,
         changed_at=(),
     )
-    return bulletin._replace(**changes)
+    return message._replace(**changes)
 
 
 def make_peer(vm, **changes):
@@ -53,6 +53,6 @@
 def make_fleet(*bulletins):
     """Return a fleet that has heard the bulletins."""
     fleet = Fleet()
-    for bulletin in bulletins:
-        fleet.hear(bulletin, f"{bulletin.vm}:1", 0.0)
+    for message in bulletins:
+        fleet.hear(message, f"{message.vm}:1", 0.0)
     return fleet
