--- a/godwitlanding/gateway/__init__.py
+++ b/godwitlanding/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Carries requests on the users' machines: one process on each entry VM."""
+"""Forwards callers' requests to upstreams, one process on each entry VM."""
--- a/godwitlanding/gateway/allotmentgossip.py
+++ b/godwitlanding/gateway/allotmentgossip.py
@@ -1,28 +1,28 @@
-"""What VMs tell each other of workspaces, and what this one makes of it.
+"""Exchanges request counts of workspaces between VMs.
 
-Counts that have changed go with the bulletins of VMs that carry requests,
-several times a second, and all counts now and then with those that say that a
-VM lives: a datagram that is lost is made good by the next. What a region's
-callers ask for goes with its digests to the other regions.
+VMs that carry requests exchange counts that have changed several times a
+second. The periodic state messages carry all counts now and then, which makes
+up for lost datagrams. The demand of a region's callers is sent to the other
+regions in its digests.
 """
 
 import asyncio
 
-# Those who carry requests tell each other what changed within this time. All
-# who live tell all with each so many words, for who missed it or carries
-# nothing.
+# VMs that carry requests send each other the counts that have changed within
+# this time. Every fourth state message holds all counts, for VMs that missed
+# a message or carry no requests.
 RECENT_S = 0.25
 FULL_STATE_EVERY = 4
-# Looks between two times at which parts are cut anew, a quarter of a second
-# each.
+# Calls of ``update``, a quarter of a second apart, between two computations of
+# the regions' parts.
 CARRIER_UPDATE_EVERY = 2
 IDLE_UPDATE_EVERY = 8
-# Parts of regions change within seconds.
+# Every second digest holds the demand; the regions' parts change over seconds.
 DEMAND_EVERY = 2
 
 
 class AllotmentGossip:
-    """Passes on what ``allotments`` counts, and hears what others count."""
+    """Sends the counts of ``allotments`` and receives those of other VMs."""
 
     def __init__(self, allotments):
         self._allotments = allotments
@@ -32,18 +32,21 @@
         self._digest_sends = 0
 
     def get_recent(self):
-        """Return the counts that have just changed."""
+        """Return the counts that have changed within ``RECENT_S``."""
         return self._allotments.get_tallies(_now() - RECENT_S)
 
     def get_periodic_tallies(self):
-        """Return counts for all who live, and whether those are all."""
+        """Return counts for a state message, and whether they are complete.
+
+        Every ``FULL_STATE_EVERY`` th call returns all counts, others none.
+        """
         self._state_sends += 1
         if self._state_sends % FULL_STATE_EVERY:
             return (), False
         return self._allotments.get_tallies(), True
 
     def get_initial_state(self):
-        """Return what a VM that has just started is told, by field."""
+        """Return message fields for a VM that has just started."""
         return {
             "tallies": self._allotments.get_tallies(),
             "tells_all": True,
@@ -51,14 +54,14 @@
         }
 
     def get_asked(self):
-        """Return what this region's callers ask for, each second time."""
+        """Return the demand of this region's callers on every second call."""
         self._digest_sends += 1
         if self._digest_sends % DEMAND_EVERY:
             return ()
         return self._allotments.get_asked()
 
-    def hear(self, message):
-        """Take a bulletin from a VM of this region."""
+    def receive_message(self, message):
+        """Handle a message from a VM of this region."""
         now = _now()
         self._allotments.hear(
             message.vm,
@@ -71,13 +74,17 @@
         self._allotments.learn(message.levels, now)
 
     def receive_digest(self, digest):
-        """Take another region's digest."""
+        """Handle another region's digest."""
         if digest.asked:
             self._allotments.hear_region(digest.region, digest.asked, _now())
 
     def update(self, share, carries_requests):
-        """Work out this region's parts; ``share`` of its VMs is heard."""
-        # VMs that carry nothing have next to nothing to cut, and are many.
+        """Recompute this region's parts; ``share`` of its VMs is reachable.
+
+        A decrease of ``share`` takes effect at once.
+        """
+        # VMs that carry no requests have almost nothing to share out, and
+        # there are many of them, so they recompute less often.
         self._ticks += 1
         every = CARRIER_UPDATE_EVERY if carries_requests else IDLE_UPDATE_EVERY
         if self._ticks % every == 0 or share < self._applied_share:
--- a/godwitlanding/gateway/availability.py
+++ b/godwitlanding/gateway/availability.py
@@ -1,4 +1,7 @@
-"""Whether an upstream may be sent a request now, whatever it would take."""
+"""Decides whether an upstream may be sent a request now.
+
+Occupied slots and expected waiting times are not considered here.
+"""
 
 from godwitlanding.base.rendezvous import choose
 from godwitlanding.decisions.fleet import get_carriers, make_own_peer
@@ -6,10 +9,10 @@
 
 
 class Availability:
-    """Upstreams that cannot be reached, are cold, or want less for a while.
+    """Tracks upstreams that are unreachable, cold, paused or rate limited.
 
-    ``ejected`` is the set of those that cannot be reached, ``pauses`` knows
-    those that want nothing from this VM for a while.
+    ``ejected`` is the set of unreachable upstreams. ``pauses`` holds the
+    upstreams that have asked this VM for a pause.
     """
 
     def __init__(self, identity, registry, fleet, limits):
@@ -23,7 +26,7 @@
         self.pauses = Pauses()
 
     def is_available(self, upstream_id, now):
-        """Tell whether a request may be sent there at once."""
+        """Tell whether a request may be sent to an upstream at once."""
         if upstream_id in self.ejected or self.pauses.get_left_s(upstream_id, now) > 0:
             return False
         if not self._limits.may_send(upstream_id, now):
@@ -31,20 +34,21 @@
         return self._is_cold_upstream_available(upstream_id, now)
 
     def may_send_new_objects(self, upstream_id, now):
-        """Tell whether it may be given objects that it does not know yet.
+        """Tell whether an upstream may be sent objects it has not cached.
 
-        What one with a scarce limit may still get is for what it knows.
+        An upstream with a scarce limit uses the remainder for requests about
+        objects that it has cached.
         """
         if self.is_scarce(upstream_id, now):
             return False
         return self._registry.get_cold_left_s(upstream_id, now) <= 0
 
     def is_scarce(self, upstream_id, now):
-        """Tell whether it is asked for as much as the limit it has named."""
+        """Tell whether demand for an upstream reaches its rate limit."""
         return self._limits.is_scarce(upstream_id, now)
 
     def note_sent(self, upstream_id, now):
-        """An upstream is sent a request; while it is cold it gets a pause."""
+        """Record a request to an upstream; a cold one then gets a pause."""
         self._limits.note_sent(upstream_id, now)
         if self._registry.get_cold_left_s(upstream_id, now) <= 0:
             return
@@ -55,15 +59,15 @@
         self._cold_next_by_upstream[upstream_id] = now + pause_s
 
     def forget(self, upstream_id):
-        """Drop what is held of an upstream that is gone or new again."""
+        """Discard the state of an upstream that was removed or restarted."""
         self.ejected.discard(upstream_id)
         self.pauses.forget(upstream_id)
         self._cold_next_by_upstream.pop(upstream_id, None)
 
     def _is_cold_upstream_available(self, upstream_id, now):
-        # A cold upstream crashes when it gets much more than its rate from
-        # all VMs together. So one VM alone sends to it, the same in every
-        # VM's eyes while they hear the same peers, and spaces its requests.
+        # A cold upstream crashes when all VMs together send much more than
+        # its rate. So a single VM sends to it and spaces the requests; VMs
+        # that see the same peers choose the same one.
         if self._registry.get_cold_left_s(upstream_id, now) <= 0:
             return True
         upstream = self._registry.upstream_by_id[upstream_id]
--- a/godwitlanding/gateway/changeset.py
+++ b/godwitlanding/gateway/changeset.py
@@ -1,4 +1,4 @@
-"""What a mirror has learnt of the store, as it is handed on."""
+"""Sets of changes to the store's objects, as mirrors pass them on."""
 
 from typing import NamedTuple
 
@@ -6,11 +6,11 @@
 
 
 class ChangeSet(NamedTuple):
-    """What a mirror has learnt at once.
+    """Changes to objects of one kind.
 
-    ``revision`` is the store's, up to which the mirror knows every change,
-    and ``changed_at`` that of the last one; ``removed`` are names. A
-    ``whole`` change holds every object there is.
+    ``revision`` is the store's revision up to which the mirror holds every
+    change, ``changed_at`` the revision of the last change. ``removed`` are
+    names. A ``whole`` change set holds every object of the kind.
     """
 
     revision: int
@@ -21,7 +21,7 @@
 
 
 def make_change_set(batch):
-    """Return a watch's events as a change; the last one of a name counts."""
+    """Return a watch's events as a change set; the last one per name wins."""
     stored_by_name = {}
     removed = {}
     for event in batch.events:
@@ -32,7 +32,7 @@
             removed[name] = True
         else:
             stored_by_name[name] = event.stored
-    # The version of an object that is gone is that of its removal.
+    # The version in a deletion event is the revision of the deletion.
     changed_at = max((event.stored.version for event in batch.events), default=0)
     return ChangeSet(
         batch.version, changed_at, tuple(stored_by_name.values()), tuple(removed)
--- a/godwitlanding/gateway/datagrams.py
+++ b/godwitlanding/gateway/datagrams.py
@@ -1,4 +1,4 @@
-"""Sends and receives the datagrams between VMs."""
+"""Sends and receives gossip messages as UDP datagrams."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 class DatagramSocket:
-    """A socket for bulletins; ``hear(data, host)`` takes what arrives."""
+    """A UDP socket; calls ``on_datagram(data, host)`` for each datagram."""
 
     def __init__(self, ip, port, on_datagram):
         self._address = (ip, port)
@@ -16,22 +16,22 @@
         self._transport = None
 
     async def open(self):
-        """Listen."""
+        """Bind the socket and begin to receive."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: _Protocol(self._on_datagram), local_addr=self._address
         )
 
     def is_open(self):
-        """Tell whether it has been opened."""
+        """Tell whether the socket has been opened."""
         return self._transport is not None
 
     def close(self):
-        """Listen no longer."""
+        """Close the socket."""
         self._transport.close()
 
     def send(self, message, hosts):
-        """Send a bulletin to some hosts; the port is the same everywhere."""
+        """Send a message to ``hosts``, on the port that all VMs share."""
         data = encode_message(message)
         if len(data) > MAX_DATAGRAM_BYTES:
             log_message("peers:too_long", level="error", bytes=len(data))
@@ -49,6 +49,6 @@
         self._on_datagram(data, address[0])
 
     def error_received(self, error):
-        # A peer whose process is down answers that its port is closed; that
-        # it is silent is noticed anyway.
+        # The host of a stopped process answers that the port is closed. Its
+        # silence is detected elsewhere, so the error is ignored.
         pass
--- a/godwitlanding/gateway/distances.py
+++ b/godwitlanding/gateway/distances.py
@@ -1,13 +1,13 @@
-"""How far upstreams are, by availability zone."""
+"""Estimates network round-trip times to upstreams, by availability zone."""
 
-# First word on distance, in seconds there and back, until it is measured.
+# Round-trip times in seconds that are assumed until one is measured.
 ZONE_DISTANCE_S = 0.001
 REGION_DISTANCE_S = 0.004
 FAR_DISTANCE_S = 0.112
 
 
 class Distances:
-    """Times there and back in seconds, first guessed, then measured."""
+    """Round-trip times in seconds: defaults, then a moving average."""
 
     def __init__(self, identity, registry):
         self._identity = identity
@@ -15,14 +15,14 @@
         self._distance_by_zone = {}
 
     def note(self, upstream, seconds):
-        """Take the time that a connection took to open, there and back."""
+        """Record the time that opening a connection took (one round trip)."""
         zone = upstream.availability_zone
         held = self._distance_by_zone.get(zone)
-        moved = seconds if held is None else held + 0.2 * (seconds - held)
-        self._distance_by_zone[zone] = moved
+        mean = seconds if held is None else held + 0.2 * (seconds - held)
+        self._distance_by_zone[zone] = mean
 
     def get_s(self, availability_zone):
-        """Return the time there and back to a zone's upstreams."""
+        """Return the round-trip time in seconds to a zone's upstreams."""
         measured = self._distance_by_zone.get(availability_zone)
         if measured is not None:
             return measured
--- a/godwitlanding/gateway/feed.py
+++ b/godwitlanding/gateway/feed.py
@@ -1,14 +1,15 @@
-"""What one VM learns of the store, handed on to others as it comes.
-
-A VM that does not read the store follows another that does (its *source*):
-it says up to which revision it knows each kind, gets what changed since, and
-every change from then on. Any VM feeds whoever asks, also one that is fed
-itself, so a VM that starts while the store is away takes what the others
-still know instead of answering 503 until the store is back.
-
-A source that stops, or a connection that falls silent without an end, would
-leave the VM with old state; signs of life on the same connection show it
-(``decisions.reading``).
+"""Replicates the store's objects from one VM to another.
+
+A VM that does not read the store follows another VM (its *source*): it sends
+the revision that it holds of each kind, and receives what has changed since
+and every change from then on. Any VM accepts followers, also one that follows
+another VM itself. So a VM that starts while the store is unreachable takes
+the state that other VMs still hold instead of answering 503 until the store
+is back.
+
+A source that stops, or a connection that hangs without being closed, would
+leave the VM with stale state. Heartbeats on the same connection detect this
+(``decisions.storereaders``).
 """
 
 import asyncio
@@ -34,13 +35,16 @@
 ROLE = "vm"
 # A source in another region answers within 0.2 s.
 FOLLOW_TIMEOUT_S = 1.0
-# Half of the longest frame; the largest object of the store is 1 MB, but
-# configurations here have some tens of KB.
+# Half of the longest frame. The largest object that the store accepts is 1 MB;
+# configurations have some tens of KB.
 MAX_PART_BYTES = 500_000
 
 
 class Feed(Service):
-    """Feeds other VMs, and takes from one source at a time."""
+    """Sends changes to follower VMs, and follows one source at a time.
+
+    ``is_reading`` is called to learn whether this VM reads the store itself.
+    """
 
     name = "feed"
     needs = ("registry",)
@@ -63,31 +67,31 @@
         self._heartbeat_task = None
         self._channel = None
         self._last_received_at = 0.0
-        # IP number of the source, empty for none.
+        # IP address of the source, empty for none.
         self.source = ""
         self.source_reads = False
-        self.reads = lambda: False
+        self.is_reading = lambda: False
         for mirror in mirrors:
             mirror.on_change.append(self._forward)
 
     async def start(self, kernel):
-        """Listen for VMs that want to be fed."""
+        """Listen for followers."""
         await self._server.start(self._identity.ip, self._identity.peer_port)
         self._heartbeat_task = start_task(self._send_heartbeats())
 
     async def stop(self):
-        """Feed nobody, and take nothing."""
+        """Stop following and close all connections."""
         self.follow("")
         self._heartbeat_task.cancel()
         await self._pool.stop()
         await self._server.stop()
 
     def get_status(self):
-        """Return the source and the number of VMs that are fed."""
+        """Return the source and the number of followers."""
         return {"source": self.source, "fed": len(self._followers)}
 
     def follow(self, host):
-        """Take the store's state from the VM at ``host`` (empty: nobody)."""
+        """Follow the VM at ``host``; an empty one stops following."""
         if host == self.source:
             return
         if self._task:
@@ -100,7 +104,7 @@
         self._task = start_task(self._follow(host)) if host else None
 
     def has_reading_source(self):
-        """Tell whether a source is heard that reads the store itself."""
+        """Tell whether the source reads the store itself."""
         return self.source_reads
 
     def _get_address(self, host):
@@ -126,7 +130,7 @@
         self._pool.drop(address)
 
     async def _subscribe(self, address):
-        """Begin to be fed; return why not, empty if all is well."""
+        """Begin to follow; return the reason of a failure, empty if none."""
         connected = await self._pool.get_channel(address)
         if connected.is_err():
             return connected.unwrap_err().detail
@@ -170,7 +174,7 @@
                 self._send_change_set(
                     channel, position.kind, mirror.make_full_change_set()
                 )
-        channel.send(Sign(self.reads()))
+        channel.send(Sign(self.is_reading()))
         self._followers.add(channel)
 
     def _forward(self, mirror, change_set):
@@ -199,7 +203,7 @@
     async def _send_heartbeats(self):
         while True:
             await asyncio.sleep(SIGN_PAUSE_S)
-            sign = Sign(self.reads())
+            sign = Sign(self.is_reading())
             for channel in list(self._followers):
                 if channel.closed.is_set():
                     self._followers.discard(channel)
@@ -213,15 +217,15 @@
 
 
 def _is_behind(position, mirror):
-    # An entry that was kept through an outage is dropped without a change of
-    # the store, so the number tells what the revision does not.
+    # An entry that was kept through an outage is later dropped without a
+    # change in the store, which only the number of objects shows.
     if position.revision < mirror.changed_at or not position.revision:
         return True
     return position.objects != len(mirror.get_objects())
 
 
 def _split_into_parts(objects):
-    """Yield the objects in parts that fit a frame, one at the least."""
+    """Yield the objects in parts that fit a frame; at least one part."""
     part = []
     size = 0
     for stored in objects:
--- a/godwitlanding/gateway/gossipmessage.py
+++ b/godwitlanding/gateway/gossipmessage.py
@@ -1,4 +1,4 @@
-"""What VMs tell each other: typed form and Cap'n Proto encoding."""
+"""State messages that VMs exchange: typed form and Cap'n Proto encoding."""
 
 import math
 import struct
@@ -23,15 +23,18 @@
 _NO_LIMIT = -1.0
 _NO_AGE = 0xFFFF
 _COUNT_MODULUS = 1 << 32
-# Digests whose rows are not read or packed again while they go round.
+# Digests whose packed rows are cached while VMs forward them.
 _CACHED_DIGESTS = 16
-# The longest datagram there is; one that is longer than a packet is lost
-# with any of its packets.
+# Close to the longest UDP datagram. A datagram longer than a packet is lost if
+# any of its packets is lost.
 MAX_DATAGRAM_BYTES = 60_000
 
 
 class StoreState(NamedTuple):
-    """What a VM says of itself and the store; see ``fleet.Peer``."""
+    """A VM's access to the store and the revisions it holds.
+
+    The fields are those of ``fleet.Peer``.
+    """
 
     reads: bool
     failed: bool
@@ -39,7 +42,7 @@
 
 
 class GossipMessage(NamedTuple):
-    """The state of one VM; rates are requests a second by service."""
+    """The state of one VM; rates are in requests per second by service."""
 
     vm: str
     incarnation: int
@@ -47,10 +50,10 @@
     region: str
     ready: bool
     leaving: bool
-    # Whether the VM tells its whole region that it lives.
+    # Whether the VM sends heartbeats to its whole region.
     active: bool
     capacity: Capacity
-    # Requests in progress by the number of the upstream.
+    # Requests in progress by upstream number.
     count_by_number: dict[int, int]
     rate_by_service: dict[str, float]
     crashes: tuple[Crash, ...]
@@ -58,54 +61,54 @@
     reads: bool
     failed: bool
     changed_at: tuple[int, ...]
-    # Which upstreams got which objects, as the VM saw lately.
+    # Objects recently sent to upstreams by this VM.
     met: tuple[CacheEntry, ...] = ()
-    # What the VM has had of workspaces, and how many VMs of its region it
-    # hears, itself included.
+    # Request counts of workspaces, and whether they are complete.
     tallies: tuple[Tally, ...] = ()
     tells_all: bool = False
-    # What is left of their allotments, for a VM that has just started.
+    # Remaining allotments of workspaces, for a VM that has just started.
     levels: tuple[Level, ...] = ()
+    # Number of reachable VMs in the sender's region, the sender included.
     heard: int = 1
-    # Upstreams that have named a limit, and what the VM has sent there.
+    # Upstreams that have set a rate limit, and the requests sent to them.
     limits: tuple[LimitRow, ...] = ()
-    # Numbers of upstreams that leave, though the store does not say so.
+    # Numbers of upstreams that are leaving but not marked so in the store.
     leaving_upstreams: tuple[int, ...] = ()
 
     @property
     def carries(self):
-        """Tell whether callers may be sent to the VM, and are."""
+        """Tell whether the VM is active and accepts callers."""
         return self.active and self.ready and not self.leaving
 
 
-def encode_message(bulletin):
-    """Return a bulletin as bytes."""
-    message = _schema.GossipMessage.new_message(
-        vm=bulletin.vm,
-        incarnation=bulletin.incarnation,
-        sequence=bulletin.sequence,
-        region=bulletin.region,
-        ready=bulletin.ready,
-        leaving=bulletin.leaving,
-        active=bulletin.active,
-        linkMbps=bulletin.capacity.link_mbps,
-        cores=bulletin.capacity.cores,
-        inProgress=_pack_pairs(bulletin.count_by_number.items()),
-        arrivals=_make_rates(bulletin.rate_by_service),
-        crashes=[crash._asdict() for crash in bulletin.crashes],
-        digests=[_make_digest(digest) for digest in bulletin.digests],
-        reads=bulletin.reads,
-        failed=bulletin.failed,
-        changedAt=list(bulletin.changed_at),
-        met=_pack_pairs(bulletin.met),
-        tallies=b"".join(_TALLY.pack(*tally) for tally in bulletin.tallies),
-        tellsAll=bulletin.tells_all,
-        levels=_pack_amounts(bulletin.levels),
-        heard=bulletin.heard,
-        limits=b"".join(map(_pack_limit, bulletin.limits)),
-        leavingUpstreams=_pack_numbers(bulletin.leaving_upstreams),
+def encode_message(message):
+    """Return a message as bytes."""
+    encoded = _schema.GossipMessage.new_message(
+        vm=message.vm,
+        incarnation=message.incarnation,
+        sequence=message.sequence,
+        region=message.region,
+        ready=message.ready,
+        leaving=message.leaving,
+        active=message.active,
+        linkMbps=message.capacity.link_mbps,
+        cores=message.capacity.cores,
+        inProgress=_pack_pairs(message.count_by_number.items()),
+        arrivals=_make_rates(message.rate_by_service),
+        crashes=[crash._asdict() for crash in message.crashes],
+        digests=[_make_digest(digest) for digest in message.digests],
+        reads=message.reads,
+        failed=message.failed,
+        changedAt=list(message.changed_at),
+        met=_pack_pairs(message.met),
+        tallies=b"".join(_TALLY.pack(*tally) for tally in message.tallies),
+        tellsAll=message.tells_all,
+        levels=_pack_amounts(message.levels),
+        heard=message.heard,
+        limits=b"".join(map(_pack_limit, message.limits)),
+        leavingUpstreams=_pack_numbers(message.leaving_upstreams),
     )
-    return message.to_bytes_packed()
+    return encoded.to_bytes_packed()
 
 
 def _pack_numbers(numbers):
@@ -164,34 +167,34 @@
 
 
 def decode_message(data):
-    """Return the bulletin in ``data``; raises ``ValueError`` if none is."""
+    """Return the message in ``data``; raise ``ValueError`` if invalid."""
     try:
-        message = _schema.GossipMessage.from_bytes_packed(data)
+        encoded = _schema.GossipMessage.from_bytes_packed(data)
         return GossipMessage(
-            vm=message.vm,
-            incarnation=message.incarnation,
-            sequence=message.sequence,
-            region=message.region,
-            ready=message.ready,
-            leaving=message.leaving,
-            active=message.active,
-            capacity=Capacity(message.linkMbps, message.cores),
-            count_by_number=dict(_PAIR.iter_unpack(message.inProgress)),
-            rate_by_service=_read_rates(message.arrivals),
-            crashes=_read_crashes(message.crashes),
-            digests=tuple(_read_digest(row) for row in message.digests),
-            reads=message.reads,
-            failed=message.failed,
-            changed_at=tuple(message.changedAt),
-            met=_unpack_cache_entries(message.met),
-            tallies=tuple(Tally(*row) for row in _TALLY.iter_unpack(message.tallies)),
-            tells_all=message.tellsAll,
-            levels=_unpack_amounts(Level, message.levels),
-            heard=message.heard,
+            vm=encoded.vm,
+            incarnation=encoded.incarnation,
+            sequence=encoded.sequence,
+            region=encoded.region,
+            ready=encoded.ready,
+            leaving=encoded.leaving,
+            active=encoded.active,
+            capacity=Capacity(encoded.linkMbps, encoded.cores),
+            count_by_number=dict(_PAIR.iter_unpack(encoded.inProgress)),
+            rate_by_service=_read_rates(encoded.arrivals),
+            crashes=_read_crashes(encoded.crashes),
+            digests=tuple(_read_digest(row) for row in encoded.digests),
+            reads=encoded.reads,
+            failed=encoded.failed,
+            changed_at=tuple(encoded.changedAt),
+            met=_unpack_cache_entries(encoded.met),
+            tallies=tuple(Tally(*row) for row in _TALLY.iter_unpack(encoded.tallies)),
+            tells_all=encoded.tellsAll,
+            levels=_unpack_amounts(Level, encoded.levels),
+            heard=encoded.heard,
             limits=tuple(
-                _unpack_limit(*row) for row in _LIMIT.iter_unpack(message.limits)
+                _unpack_limit(*row) for row in _LIMIT.iter_unpack(encoded.limits)
             ),
-            leaving_upstreams=_unpack_numbers(message.leavingUpstreams),
+            leaving_upstreams=_unpack_numbers(encoded.leavingUpstreams),
         )
     except (capnp.KjException, UnicodeDecodeError, struct.error) as error:
         raise ValueError(f"not a bulletin: {error}") from None
@@ -221,7 +224,7 @@
     )
 
 
-# A VM hears a digest from all who pass it on, and passes it on itself.
+# A VM receives a digest from every VM that forwards it, and forwards it too.
 @lru_cache(maxsize=_CACHED_DIGESTS)
 def _pack_amounts(rows):
     return b"".join(_AMOUNT.pack(*row) for row in rows)
--- a/godwitlanding/gateway/knownvms.py
+++ b/godwitlanding/gateway/knownvms.py
@@ -1,7 +1,8 @@
-"""Which VMs there are, by the store's list and by what is heard of them.
+"""Tracks the VMs that exist, by the store's list and by received messages.
 
-*Near* are those of this VM's own region. A VM that has just been added may
-be listed and not yet heard, one that was removed may be heard still.
+A VM that was just added may be listed before it sends a message, and one that
+was removed from the list may still send some. A VM is *reachable* while its
+messages arrive.
 """
 
 import asyncio
@@ -13,7 +14,7 @@
 from godwitlanding.decisions.quorum import Quorum
 from godwitlanding.gateway.remotetargets import RemoteTargets, get_hosts
 
-# The share of the region is logged when it has changed by more than this.
+# The reachable share is logged when it has changed by more than this.
 LOG_CHANGE = 0.05
 
 
@@ -25,7 +26,7 @@
 
 
 class KnownVms:
-    """The VMs that this one may tell something; hosts are IP numbers."""
+    """VMs that messages may be sent to; hosts are IP addresses."""
 
     def __init__(self, region, fleet, digests):
         self._region = region
@@ -37,32 +38,35 @@
         self._logged_share = 1.0
 
     def put(self, vm, listed):
-        """The store lists a VM; return whether that is new."""
+        """Add a VM that the store lists; return whether it has changed."""
         if self._listed_by_vm.get(vm) == listed:
             return False
         self._listed_by_vm[vm] = listed
         return True
 
     def remove(self, vm):
-        """The store lists a VM no longer."""
+        """Remove a VM that the store no longer lists."""
         self._listed_by_vm.pop(vm, None)
 
     def count(self):
-        """Return how many VMs there are beside this one, or more."""
+        """Return the number of other VMs, listed or reachable.
+
+        It may be too high, as it includes VMs that were just removed.
+        """
         return len(self._listed_by_vm.keys() | self._fleet.peer_by_vm.keys())
 
-    def hear(self, message):
-        """Take a bulletin from a near VM."""
+    def receive_message(self, message):
+        """Handle a message from a VM of this region."""
         self._quorum.note(message.vm, message.carries, message.heard, _now())
 
-    def count_heard(self):
-        """Return how many near VMs are heard, this one included."""
+    def count_reachable(self):
+        """Return the number of reachable VMs of this region with this one."""
         return self._quorum.count_heard(_now())
 
     def compute_share(self, carries_requests):
-        """Return the share of the region's VMs that is heard.
+        """Return the share of the region's VMs that is reachable.
 
-        ``own_carries`` tells whether this VM carries requests itself.
+        ``carries_requests`` tells whether this VM carries requests itself.
         """
         listed = self.get_region_names()
         share = self._quorum.get_share(listed, carries_requests, _now())
@@ -71,50 +75,54 @@
             log_message(
                 "neighbours:quorum",
                 share=round(share, 3),
-                heard=self.count_heard(),
+                heard=self.count_reachable(),
                 listed=len(listed),
             )
         return share
 
     def get_region_peers(self):
-        """Return the near VMs that are heard, as ``Peer``."""
+        """Return the reachable VMs of this region as ``Peer`` objects."""
         peers = self._fleet.peer_by_vm.values()
         return [peer for peer in peers if peer.region == self._region]
 
     def get_region_names(self):
-        """Return the names of the near VMs that the store lists."""
+        """Return the names of this region's VMs that the store lists."""
         listed = self._listed_by_vm.items()
         return {vm for vm, row in listed if row.region == self._region}
 
     def get_region_hosts(self):
-        """Return the hosts of all near VMs."""
+        """Return the hosts of this region's VMs, listed or reachable."""
         listed = self._listed_by_vm.values()
         hosts = {vm.host for vm in listed if vm.region == self._region}
         hosts.update(peer.host for peer in self.get_region_peers())
         return hosts
 
     def get_active_hosts(self):
-        """Return the hosts of near VMs that tell their region they live."""
+        """Return the hosts of this region's VMs that are active."""
         return {peer.host for peer in self.get_region_peers() if peer.active}
 
     def get_busy_hosts(self):
-        """Return the hosts of near VMs that carry requests of callers."""
-        # Those that callers are sent to may be busy the next moment.
+        """Return the hosts of this region's VMs that carry requests."""
+        # VMs that callers are directed to are included, since they may get
+        # requests at any moment.
         carriers = get_carriers(None, self._fleet, self._region)
         hosts = {peer.host for peer in carriers}
         hosts.update(peer.host for peer in self.get_region_peers() if peer.busy)
         return list(hosts)
 
     def get_remote_carriers(self, regions=None):
-        """Return the hosts that carry requests in ``regions``, or in all."""
+        """Return the hosts that carry requests in ``regions`` (``None``: all).
+
+        Hosts of this VM's own region are not included.
+        """
         return get_hosts(self._digests.get_carriers(regions))
 
     def note_sender(self, region, host):
-        """A VM of another region has told this one a digest."""
+        """Record the VM of another region that a digest was received from."""
         self._remote_targets.note_sender(region, host)
 
     def pick_remote_targets(self):
-        """Return the hosts that are sent this region's digest."""
+        """Return the hosts to send this region's digest to."""
         hosts_by_region = {}
         for listed in self._listed_by_vm.values():
             if listed.region != self._region:
--- a/godwitlanding/gateway/limitgossip.py
+++ b/godwitlanding/gateway/limitgossip.py
@@ -1,10 +1,9 @@
-"""Limits that upstreams have named: what VMs tell each other of them.
+"""Exchanges the rate limits that upstreams have set between VMs.
 
-What an upstream says, and how many requests a VM has sent there, goes with
-the bulletins of VMs that carry requests; other regions are told with the
-digests which upstreams are limited. What a VM hears from an upstream of
-another region it tells that region at once, since the VMs there may have had
-no answer of it.
+Messages of VMs that carry requests hold the limits received from upstreams
+and the number of requests sent to those. Digests list the limited upstreams
+for other regions. A limit received from an upstream of another region is sent
+to that region at once, since the VMs there may have had no response from it.
 """
 
 import asyncio
@@ -13,16 +12,15 @@
 
 from godwitlanding.decisions.ratelimit import RateLimits
 
-# What has changed is told for the time of some bulletins, so that one that is
-# lost is made good.
+# A change is repeated in messages for this long, in case datagrams are lost.
 REPEAT_S = 0.5
 
 
 class LimitGossip:
-    """Keeps the limits of upstreams in step with answers and with peers.
+    """Updates upstream rate limits from responses and from peers' messages.
 
-    ``on_far_limit`` is called with the region of an upstream elsewhere that
-    has named another limit.
+    ``on_remote_limit`` is called with the region of an upstream in another
+    region whose limit has changed.
     """
 
     def __init__(self, registry, region, regions, counters):
@@ -33,11 +31,11 @@
         self.on_remote_limit = lambda region: None
 
     def set_regions(self, regions):
-        """Take the regions that there are."""
+        """Set the list of regions."""
         self._limits.set_regions(regions)
 
     def note_answer(self, upstream, limit_per_s):
-        """An upstream has answered, with a limit or (``None``) without."""
+        """Record a response's rate limit; ``None`` if it has none."""
         number = self._registry.number_by_id.get(upstream.id)
         if number is None:
             return
@@ -50,44 +48,44 @@
             self.on_remote_limit(region)
 
     def get(self, upstream_id):
-        """Return the limit that an upstream has named, or ``None``."""
+        """Return an upstream's limit in requests per second, or ``None``."""
         return self._limits.get(self._registry.number_by_id.get(upstream_id))
 
     def is_limited(self, upstream_id):
-        """Tell whether an upstream has named a limit."""
+        """Tell whether an upstream has set a rate limit."""
         return self.get(upstream_id) is not None
 
     def is_scarce(self, upstream_id, now):
-        """Tell whether an upstream's limit leaves no more than is asked."""
+        """Tell whether demand for an upstream reaches its rate limit."""
         return self._limits.is_scarce(self._registry.number_by_id[upstream_id], now)
 
     def may_send(self, upstream_id, now):
-        """Tell whether a request may be sent to an upstream at once."""
+        """Tell whether the rate limit allows a request at once."""
         return self._limits.may_send(self._registry.number_by_id[upstream_id], now)
 
     def note_sent(self, upstream_id, now):
-        """A request is sent to an upstream."""
+        """Record a request to an upstream."""
         self._limits.note_sent(self._registry.number_by_id[upstream_id], now)
 
     def forget(self, upstream_id):
-        """Drop what is held of an upstream that is gone or new again."""
+        """Discard the limit of an upstream that was removed or restarted."""
         self._limits.forget(self._registry.number_by_id.get(upstream_id))
 
     def get_recent(self):
-        """Return what those who carry requests are told often."""
+        """Return the recently changed rows, for frequent messages."""
         now = _now()
         return self._limits.get_rows(now, now - REPEAT_S)
 
     def get_all(self):
-        """Return what the region is told now and then."""
+        """Return all rows, for the periodic state messages."""
         return self._limits.get_rows(_now())
 
     def get_limited(self):
-        """Return what other regions are told."""
+        """Return the limited upstreams of this region, for its digest."""
         return self._limits.get_limited()
 
-    def hear(self, message):
-        """Take a bulletin from any VM."""
+    def receive_message(self, message):
+        """Handle the limits in a message from any VM."""
         now = _now()
         for row in message.limits:
             upstream_id = self._registry.id_by_number.get(row.upstream)
@@ -100,12 +98,15 @@
                 self._log(upstream_id, row.per_s, former, message.vm)
 
     def receive_digest(self, digest):
-        """Take another region's digest."""
+        """Handle the limits in a digest; that of this region is ignored."""
         if digest.region != self._region:
             self._limits.hear_region(digest.region, digest.limited, _now())
 
     def update(self, share, carries_requests):
-        """Take which ``share`` of the region's VMs is heard."""
+        """Set the share of the region's VMs that is reachable.
+
+        ``carries_requests`` tells whether this VM carries requests itself.
+        """
         self._limits.update(share, carries_requests, _now())
 
     def _log(self, upstream_id, limit_per_s, former_per_s, told_by):
--- a/godwitlanding/gateway/mirror.py
+++ b/godwitlanding/gateway/mirror.py
@@ -1,19 +1,18 @@
-"""Keeps a kind of the store's objects in step: list, then watch.
-
-A mirror is fed in one of two ways: it follows the store itself, or it takes
-what another VM's mirror has learnt (``gateway.feed``). What it holds, and up
-to which revision of the store it knows every change, stands through a change
-from one way to the other.
-
-Load pattern: the store is away, slow, or turns this VM away, all VMs at
-once; then all of them come back. Each waits a random time that doubles up
-to ``MAX_PAUSE_S``, so that they do not come back together.
-
-A watch that was cut is not taken up from where it was: a store that has
-dropped its history accepts the old revision, says nothing of the changes in
-between, and tells that they are gone only with the next change. A VM would
-go on sending to an evacuated zone for as long as nothing else happens there.
-So after every failure the list is read again.
+"""Keeps a local copy of all store objects of one kind, by list and watch.
+
+A mirror is updated in one of two ways: it follows the store itself, or it
+applies change sets of another VM's mirror (``gateway.feed``). Its objects and
+the revision up to which it holds every change are kept when it switches from
+one way to the other.
+
+Load pattern: the store is unreachable, slow, or rejects calls, for all VMs at
+once; then all of them retry. Each waits a random time that doubles up to
+``MAX_BACKOFF_S``, so that the retries are spread out.
+
+An interrupted watch is not resumed from its revision. A store that has dropped
+its history accepts the old revision, sends none of the changes in between, and
+reports the loss only with the next change. Until then a VM would go on sending
+requests to an evacuated zone. So the list is read again after every failure.
 """
 
 import asyncio
@@ -28,30 +27,32 @@
 from godwitlanding.decisions.lapse import RETURNED_S
 from godwitlanding.gateway.changeset import ChangeSet, make_change_set
 
-# A call that the store took in an outage may never be answered, and its
-# connection lives on; a watch that hangs so is noticed when its time is over.
-# Callers count on a change soon after an outage; the store would hold a watch
-# far longer, and each watch that ends sooner is a call more.
+# A call that the store accepted during an outage may never be answered
+# although its connection stays open; a watch that hangs like this is detected
+# when it times out. A change has to reach callers soon after an outage. The
+# store would hold a watch far longer, but each shorter one is one more call.
 WATCH_TIMEOUT_S = 4.0
 FIRST_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 1.0
-# Changes that come within this time are fetched by one call: a watch that
-# returned is not repeated sooner. It is a small part of the time in which a
+# Watches are sent at least this far apart, so that one call fetches all
+# changes within this time. It is a small part of the time within which a
 # change has to be in force.
 MIN_WATCH_INTERVAL_S = 0.25
-# A VM reads every list at its start and begins to follow soon after.
+# A VM reads every list at its start and begins to watch soon after; a list
+# that is older than this is read again.
 FRESH_LIST_S = 1.0
 
 
 class Mirror(Service):
-    """Holds one kind; ``apply(name, version, value)`` takes each object.
-
-    A ``value`` of ``None`` says that the object is gone. ``guard`` may hold
-    removals and returns back (see ``decisions.lapse``). ``on_change``
-    functions get each ``Change``, those of ``on_restored`` are called when
-    the store is seen to have come back from an older copy, before what it
-    holds is taken. With ``begins_old`` the list that is read at the start may
-    be some seconds behind.
+    """Mirrors one kind; calls ``apply(name, version, value)`` per change.
+
+    A ``value`` of ``None`` means that the object was removed. ``guard`` may
+    delay removals and reappearances (see ``decisions.removalguard``). The
+    functions in ``on_change`` are called with this mirror and each
+    ``ChangeSet``. Those in ``on_restored`` are called when the store is found
+    to be restored from an older copy, before its objects are applied. With
+    ``begins_old`` the list that is read at the start may be some seconds
+    stale.
     """
 
     needs = ("registry",)
@@ -65,8 +66,9 @@
         self._on_known = on_known
         self.begins_old = begins_old
         self._object_by_name = {}
-        # Objects that a restored store has brought back, not applied yet, and
-        # its revision when that was noticed: later ones were written since.
+        # Objects that reappeared when the store was restored, not applied yet,
+        # and the store's revision when the restoration was detected: objects
+        # of later versions were written since.
         self._reappeared = {}
         self._restored_revision = 0
         self._reappeared_timer = None
@@ -75,27 +77,27 @@
         self._task = None
         self._backoff_s = FIRST_BACKOFF_S
         self._answered_at = 0.0
-        # Revision of the store's last list, until a call fails.
+        # Revision of the last list read, ``None`` after a failed call.
         self._listed_revision = None
         self.on_change = []
         self.on_restored = []
         self.is_known = False
         self.is_lost = False
-        # Whether the store has answered since this mirror follows it.
+        # Whether the store has answered since this mirror began to follow it.
         self.has_answered = False
-        # Every change up to this revision is known, and the last one that
-        # there was of this kind.
+        # Revision up to which every change is known, and the revision of the
+        # last change of this kind.
         self.revision = 0
         self.changed_at = 0
 
     async def stop(self):
-        """Follow no longer."""
+        """Stop following the store and cancel the pending timer."""
         self.stop_following()
         if self._reappeared_timer:
             self._reappeared_timer.cancel()
 
     def get_status(self):
-        """Return how the kind is followed and what is held."""
+        """Return the state of the mirror and its number of objects."""
         return {
             "follows": self.is_following(),
             "lost": self.is_lost,
@@ -110,8 +112,8 @@
     def follow(self, lost_at=None):
         """Begin to follow the store.
 
-        ``lost_at`` is when the store was last known to answer anybody, if
-        it has not done so since.
+        ``lost_at`` is when the store was last known to answer any VM, if it
+        has not answered since.
         """
         if self._task:
             return
@@ -120,7 +122,7 @@
         self._task = start_task(self._follow())
 
     def stop_following(self):
-        """Follow the store no longer; what is held stands."""
+        """Stop following the store; the objects are kept."""
         if self._task:
             self._task.cancel()
         self._task = None
@@ -128,13 +130,13 @@
         self.has_answered = False
 
     def get_objects(self):
-        """Return the objects that are held."""
+        """Return the mirrored objects."""
         return list(self._object_by_name.values())
 
     def get_confirmed(self, name):
-        """Return an object that is held, ``None`` if the store may lack it.
+        """Return an object, ``None`` if the store may lack it.
 
-        It may where it has come back from an older copy since.
+        The store may lack it if it was restored from an older copy since.
         """
         held = self._object_by_name.get(name)
         if held and get_era(held.version) < get_era(self.revision):
@@ -142,12 +144,12 @@
         return held
 
     def make_full_change_set(self):
-        """Return all that is held as a ``Change``."""
+        """Return all objects as a ``ChangeSet``."""
         objects = tuple(self._object_by_name.values())
         return ChangeSet(self.revision, self.changed_at, objects, (), True)
 
     def apply_change_set(self, change_set):
-        """Take what another mirror of this kind has learnt."""
+        """Apply a change set of another mirror of this kind."""
         self._merge(change_set, self._drop)
         self._note_known()
 
@@ -162,25 +164,25 @@
                 revision = await self._watch(revision)
 
     def was_just_listed(self):
-        """Tell whether the store's list was read a moment ago."""
+        """Tell whether the list was read within ``FRESH_LIST_S``."""
         return (
             self._listed_revision is not None
             and _now() - self._answered_at < FRESH_LIST_S
         )
 
     def _get_fresh_revision(self):
-        # The history since a list that was just read is not gone yet.
+        # The store still has its history since a list that was just read.
         return self._listed_revision if self.was_just_listed() else None
 
     async def list_once(self, reached=None):
         """Read the list once; return whether the store answered.
 
-        ``reached`` is a future of a version that the store has come to since
-        the call was sent, ``None`` for none.
+        ``reached`` is a future of a version that the store has reached since
+        the call was sent, or of ``None`` if that is not known.
         """
         if await self._list(self.begins_old, reached) is not None:
             return True
-        # Whoever decides to follow the store asks again.
+        # The list is read again once this VM follows the store.
         self.stop_following()
         return False
 
@@ -194,15 +196,15 @@
         versions = [stored.version for stored in snapshot.objects]
         changed_at = max(versions, default=0)
         if allow_stale and reached and changed_at > (await reached or changed_at):
-            # It was made before the store came back from an older copy.
+            # The list is from before the store was restored from an old copy.
             log_message("mirror:lost_history", kind=self.kind, version=changed_at)
             return await self._list()
         if allow_stale:
-            # One that is empty tells the era at the least.
+            # An empty list still shows the era.
             known_revision = max(changed_at, make_version(get_era(snapshot.version), 0))
             return self._take_stale_list(known_revision, snapshot.objects)
         if self._object_by_name.keys() - {o.name for o in snapshot.objects}:
-            # When they went is not told; not later than now.
+            # The time of the removals is not known, only that it is past.
             changed_at = snapshot.version
         refused = self._merge(
             ChangeSet(snapshot.version, changed_at, snapshot.objects, (), True),
@@ -220,11 +222,11 @@
         return snapshot.version
 
     def _take_stale_list(self, changed_at, objects):
-        """Take a list that may be behind; return up to which revision.
+        """Apply a list that may be stale; return the revision it is good for.
 
-        Whatever revision the store tells with it, only that of the last
-        change in it is known. Neighbours tell the rest, and whoever follows
-        the store reads the list again.
+        That is the revision of the last change in it, whatever revision the
+        store returns with it. Later changes come from other VMs, and a VM that
+        follows the store reads the list again.
         """
         if not self.is_known:
             self._merge(
@@ -270,11 +272,11 @@
         )
 
     def _merge(self, change_set, remove):
-        """Take what is news; return the objects that are older than known."""
+        """Apply what is new; return the objects older than the known ones."""
         if self.is_known and get_era(change_set.revision) > get_era(self.revision):
             self._note_restored(change_set.revision)
-        # Whoever tells may be behind: what it holds of before ``revision``
-        # is known here already, or known to be gone.
+        # The sender may be behind: of its objects, those with versions up to
+        # ``revision`` are known here already, or known to be removed.
         refused = []
         for stored in change_set.objects:
             if self._guard:
@@ -359,7 +361,7 @@
                 self._drop(name)
 
     def _notify(self):
-        """Tell what was learnt since the last time, if anything."""
+        """Pass the changes since the last call to ``on_change``, if any."""
         if not self._updated and not self._removed:
             return
         change_set = ChangeSet(
@@ -396,8 +398,8 @@
                 code=refusal.code.name,
                 detail=refusal.detail,
             )
-        pause_s = self._backoff_s * random.uniform(0.5, 1.5)
-        await asyncio.sleep(pause_s)
+        backoff_s = self._backoff_s * random.uniform(0.5, 1.5)
+        await asyncio.sleep(backoff_s)
         self._backoff_s = min(MAX_BACKOFF_S, self._backoff_s * 2)
 
 
--- a/godwitlanding/gateway/objectgossip.py
+++ b/godwitlanding/gateway/objectgossip.py
@@ -1,52 +1,52 @@
-"""Which objects upstreams got lately, as this VM tells its peers."""
+"""Exchanges cache entries (which upstreams hold which objects) between VMs."""
 
 import asyncio
 from collections import OrderedDict
 
-# Told to the region for the time of some twenty bulletins, and to the other
-# regions for four digests.
+# How long an entry is repeated in messages to the region (about twenty
+# messages) and in digests to other regions (four digests).
 REPEAT_S = 0.5
 REMOTE_REPEAT_S = 2.0
-# 8 bytes each: a packet holds some 120 beside the rest.
+# An entry takes 8 bytes: a packet has room for about 120 of them.
 MAX_RECENT = 100
-# A VM that has just started is told all of it, 16 KB at the most.
+# A VM that has just started is sent all entries, at most 16 KB.
 MAX_ALL = 2000
 
 
 class ObjectGossip:
-    """Keeps for a while what this VM saw, and what its region told."""
+    """Keeps the recent cache entries of this VM and of its region."""
 
     def __init__(self, object_map):
         self._object_map = object_map
-        # When each meeting was seen or heard last.
+        # Time at which each entry was last observed or received.
         self._seen_at_by_own = OrderedDict()
         self._seen_at = OrderedDict()
 
     def note(self, cache_entry):
-        """An upstream is sent an object; the peers may not know."""
+        """Record an entry that this VM has created; it is sent to peers."""
         now = _now()
         if self._object_map.note(cache_entry, now):
             self._seen_at_by_own[cache_entry] = now
             self._seen_at_by_own.move_to_end(cache_entry)
             self._keep(cache_entry, now)
 
-    def hear(self, cache_entry, is_own_region):
-        """A peer says so; what neighbours say is told to other regions."""
+    def note_received(self, cache_entry, is_own_region):
+        """Record a peer's entry; those of the own region go into digests."""
         now = _now()
         self._object_map.hear(cache_entry, now)
         if is_own_region:
             self._keep(cache_entry, now)
 
     def get_recent(self):
-        """Return what the region is told."""
+        """Return the recent entries of this VM, for its region."""
         return _take_recent(self._seen_at_by_own, REPEAT_S)
 
     def get_recent_of_region(self):
-        """Return what other regions are told."""
+        """Return the recent entries of this region, for other regions."""
         return _take_recent(self._seen_at, REMOTE_REPEAT_S)
 
     def get_all(self):
-        """Return what a VM that has just started is told."""
+        """Return all known entries, for a VM that has just started."""
         return self._object_map.get_cache_entries(MAX_ALL)
 
     def _keep(self, cache_entry, now):
@@ -57,7 +57,7 @@
 
 
 def _take_recent(seen_at, max_age_s):
-    """Return the newest meetings, and drop those that are too old to tell."""
+    """Return the recent entries; discard those older than ``max_age_s``."""
     oldest = _now() - max_age_s
     while seen_at and next(iter(seen_at.values())) < oldest:
         seen_at.popitem(last=False)
--- a/godwitlanding/gateway/peer.capnp
+++ b/godwitlanding/gateway/peer.capnp
@@ -1,91 +1,94 @@
 @0xc3a1f2b7d5e84960;
 
-# What a VM tells its peers in one datagram. Everything in it is the whole
-# present state, so that a lost or late datagram is made good by the next.
-struct Bulletin {
+# State of a VM, sent to its peers in one datagram. It holds the full current
+# state rather than a difference, so the next datagram makes up for a lost or
+# late one.
+struct GossipMessage {
   vm @0 :Text;
-  # Drawn anew at each start of the process.
+  # Random number, chosen at each start of the process.
   incarnation @1 :UInt64;
-  # Grows with each datagram of an incarnation.
+  # Increases with each datagram of an incarnation.
   sequence @2 :UInt64;
   region @3 :Text;
   ready @4 :Bool;
   leaving @5 :Bool;
   linkMbps @6 :Float32;
   cores @7 :Float32;
-  # Pairs of 32-bit little-endian numbers: an upstream's number (see
-  # ``decisions.occupancy``), and the requests in progress there. A list of
+  # Pairs of 32-bit little-endian integers: an upstream's number (see
+  # ``decisions.occupancy``) and the requests in progress there. A list of
   # structs takes four times the bytes and ten times the time.
   inProgress @8 :Data;
   arrivals @9 :List(ServiceRate);
   crashes @10 :List(Crash);
-  # Other regions, as they told this VM themselves, or the VM's own region
-  # in what it sends to others.
+  # Digests of other regions, as received from those regions. In a message to
+  # another region: the digest of the sender's own region.
   digests @11 :List(Digest);
-  # Whether the VM reads the store, and whether the store does not answer it.
+  # Whether the VM reads the store, and whether its calls to the store fail.
   reads @12 :Bool;
   failed @13 :Bool;
-  # Revision of the last change that the VM knows of each kind of object, by
-  # kind in alphabetical order.
+  # Revision of the last change that the VM has received for each kind of
+  # object, ordered alphabetically by kind.
   changedAt @14 :List(UInt64);
-  # Pairs of 32-bit little-endian numbers, as above: an upstream's, that of its
-  # present start, and an object's that it got (see ``decisions.objectmap``).
+  # Cache entries, as pairs of 32-bit little-endian integers: the number of an
+  # upstream's current start, and the number of an object that it has received
+  # (see ``decisions.objectmap``).
   met @15 :Data;
-  # Whether the VM tells its whole region that it lives.
+  # Whether the VM sends heartbeats to its whole region.
   active @16 :Bool;
-  # Triples of 32-bit little-endian numbers: a workspace's, and how many of
-  # its requests the VM has sent and has been asked for since its start.
+  # Triples of 32-bit little-endian integers: a workspace's number, and how
+  # many of its requests the VM has forwarded and has received since its start.
   tallies @17 :Data;
-  # VMs of the own region that this one hears, itself included.
+  # Number of reachable VMs in the sender's region, the sender included.
   heard @18 :UInt32;
-  # Whether the tallies are all that the VM has.
+  # Whether the tallies are complete.
   tellsAll @19 :Bool;
-  # Pairs of a workspace's number and a 32-bit little-endian float: what is
-  # left of its allotment in the region, as the VM sees it.
+  # Pairs of a workspace's number and a 32-bit little-endian float: the
+  # remainder of its allotment in the region, by the sender's estimate.
   levels @20 :Data;
-  # Upstreams that have named a limit, each as 14 bytes: its number, a 32-bit
-  # float of what it said to the VM itself (negative: no limit any more), 16
-  # bits of how many milliseconds ago (all set: it said nothing), and 32 bits
-  # of how many requests the VM has sent there.
+  # Upstreams that have set a rate limit, each as 14 bytes: its number, a
+  # 32-bit float with the limit last received by the sender itself (negative:
+  # limit lifted), 16 bits with its age in milliseconds (all bits set: none
+  # received), and 32 bits with the number of requests sent to the upstream.
   limits @21 :Data;
-  # Numbers, as above, of upstreams that have said that they leave, though
-  # their entries in the store do not say so.
+  # Numbers, as above, of upstreams that have announced that they are leaving
+  # while their entries in the store are not marked as leaving.
   leavingUpstreams @22 :Data;
 }
 
-# Requests for a service that callers sent to this VM, each second.
+# Rate at which callers send requests for a service, per second.
 struct ServiceRate {
   service @0 :Text;
   perSecond @1 :Float32;
 }
 
-# A request that was running on an upstream when that one crashed.
+# A request that was running on an upstream when the upstream crashed.
 struct Crash {
   fingerprint @0 :UInt64;
   upstream @1 :Text;
 }
 
-# A region as its representatives see it.
+# Summary of a region, made by its representatives.
 struct Digest {
   region @0 :Text;
-  # VMs that serve callers.
+  # Number of VMs that serve callers.
   vms @1 :UInt32;
-  # Where callers connect to those that carry most, as IP number and port.
+  # Addresses (IP address and port) for callers of the VMs that carry most
+  # requests.
   carriers @2 :List(Text);
   arrivals @3 :List(ServiceRate);
   crashes @4 :List(Crash);
-  # IP number of a VM that knows the store's state, and up to which revision,
-  # as above.
+  # IP address of a VM that holds the store's state, and the revisions it
+  # holds, as above.
   source @5 :Text;
   changedAt @6 :List(UInt64);
-  # As in the bulletin, what the VMs of the region told lately.
+  # Recent cache entries of the region, encoded as in ``GossipMessage``.
   met @7 :Data;
-  # Pairs of a workspace's number and a 32-bit little-endian float: requests a
-  # second that the region's callers ask for. In every other digest.
+  # Pairs of a workspace's number and a 32-bit little-endian float: requests
+  # per second that the region's callers send. In every other digest.
   asked @8 :Data;
-  # Pairs of an upstream's number and a 32-bit little-endian float: the limit
-  # that it has named.
+  # Pairs of an upstream's number and a 32-bit little-endian float: the rate
+  # limit that it has set.
   limited @9 :Data;
-  # As in the bulletin.
+  # As in ``GossipMessage``.
   leavingUpstreams @10 :Data;
 }
--- a/godwitlanding/gateway/peers.py
+++ b/godwitlanding/gateway/peers.py
@@ -1,12 +1,13 @@
-"""Bulletins between VMs, as datagrams: who serves, and what is in progress.
-
-Each VM sends its whole state again and again, at three paces. VMs that carry
-callers' requests share upstreams and hear of each other's many times a
-second, those of other regions a quarter as often; the pause grows with their
-number, so that what a VM reads and sends a second is bounded. They also tell
-their whole region twice a second that they live; the other VMs tell only
-them, and less often (``decisions.audience``). And a region's representatives
-send a digest to the other regions (see ``decisions.digest``).
+"""Exchanges gossip messages with other VMs: readiness, load and limits.
+
+Each VM sends its full state periodically, in three kinds of messages. VMs that
+carry callers' requests share upstreams, so they send each other their counts
+many times a second, and a quarter as often to such VMs of other regions. The
+interval grows with the number of recipients, which bounds the messages that a
+VM sends and reads per second. Those VMs also send heartbeats to their whole
+region twice a second; the other VMs send heartbeats only to them, and less
+often (``decisions.recipients``). And a region's representatives send a digest
+to the other regions (see ``decisions.digest``).
 """
 
 import asyncio
@@ -39,19 +40,23 @@
 from godwitlanding.gateway.knownvms import KnownVms, ListedVm
 from godwitlanding.gateway.objectgossip import ObjectGossip
 
-# In less than this little changes at an upstream.
+# Little changes at an upstream in less than this time.
 MIN_INTERVAL_S = 0.025
-# The pause grows with the busy peers, so that what a VM sends and reads in a
-# second stays the same however many they are.
+# The interval grows with the number of busy peers, so that the messages that a
+# VM sends and reads per second do not depend on it.
 INTERVAL_PER_PEER_S = 0.0065
 REMOTE_EVERY = 4
-# A VM without requests of callers looks this often whether it has some.
+# A VM without requests of callers checks this often whether it has some.
 IDLE_CHECK_S = 0.2
 CHECK_INTERVAL_S = 0.25
 
 
 class Peers(Service):
-    """Sends and hears bulletins; holds ``fleet`` and ``occupancy`` in step."""
+    """Sends and receives gossip messages.
+
+    ``fleet`` and ``occupancy`` are updated with each message. ``on_crash`` is
+    called with each ``Crash`` that a peer reports.
+    """
 
     name = "peers"
     needs = ("registry",)
@@ -76,7 +81,9 @@
         self._on_crash = on_crash
         self._incarnation = random.getrandbits(63)
         self._sequence = 0
-        self._socket = DatagramSocket(identity.ip, identity.peer_port, self.hear)
+        self._socket = DatagramSocket(
+            identity.ip, identity.peer_port, self.receive_datagram
+        )
         self._tasks = []
         self._registry = None
         self._crash_gossip = CrashGossip()
@@ -91,7 +98,7 @@
         self.leaving = False
 
     async def start(self, kernel):
-        """Listen for datagrams and begin to send."""
+        """Open the socket and begin to send messages."""
         self._registry = kernel.get("registry")
         await self._socket.open()
         self._tasks = [
@@ -102,17 +109,17 @@
         ]
 
     async def stop(self):
-        """Send no more."""
+        """Stop sending and close the socket."""
         for task in self._tasks:
             task.cancel()
         self._socket.close()
 
     def get_status(self):
-        """Return the peers that are heard."""
+        """Return the names of the reachable peers."""
         return {"heard": sorted(self._fleet.peer_by_vm)}
 
     def note_vm(self, vm, host, availability_zone):
-        """The store lists a VM (``host`` ``None``: no longer)."""
+        """Record a VM that the store lists (``host`` ``None``: removed)."""
         if vm == self._identity.vm:
             return
         if host is None:
@@ -128,21 +135,21 @@
         self._arrival_rates.note(service)
 
     def note_cache_entry(self, cache_entry):
-        """An upstream is sent an object; the peers may not know."""
+        """Record that an upstream is sent an object, to tell the peers."""
         self._object_gossip.note(cache_entry)
 
     def note_crash(self, crash):
-        """Tell the peers that a request was running on a crashed upstream."""
+        """Send the peers a request that was running on a crashed upstream."""
         self._crash_gossip.note(crash)
         self._send(self._known_vms.get_region_hosts())
         self._send_digest()
 
     def count_vms(self):
-        """Return how many VMs there are, this one included, or more."""
+        """Return the number of VMs with this one; it may be too high."""
         return 1 + self._known_vms.count()
 
     def get_arrival_rates(self, service):
-        """Return the requests a second for a service by region."""
+        """Return the requests per second for a service, by region."""
         own = self._arrival_rates.rate_by_service.get(service, 0.0)
         rates = [
             peer.rate_by_service.get(service, 0.0)
@@ -154,14 +161,14 @@
         return rate_by_region
 
     def leave(self):
-        """Tell every peer at once that this VM takes no more callers."""
+        """Announce to every peer at once that this VM is leaving."""
         self.leaving = True
         for _ in range(2):
             self._send(self._known_vms.get_region_hosts())
             self._send(self._known_vms.get_remote_carriers())
 
-    def hear(self, data, host):
-        """Take a datagram from a peer."""
+    def receive_datagram(self, data, host):
+        """Handle a datagram from a peer."""
         try:
             message = decode_message(data)
         except ValueError as error:
@@ -170,26 +177,26 @@
         if message.vm == self._identity.vm:
             return
         now = asyncio.get_running_loop().time()
-        known = self._fleet.peer_by_vm.get(message.vm)
+        previous = self._fleet.peer_by_vm.get(message.vm)
         address = f"{host}:{self._identity.caller_address[1]}"
         if not self._fleet.hear(message, address, now):
             return
         self._occupancy.note_peer(message.vm, message.count_by_number, now)
         is_own_region = message.region == self._identity.region
         if is_own_region:
-            self._known_vms.hear(message)
-            self._allotment_gossip.hear(message)
-        self._limit_gossip.hear(message)
+            self._known_vms.receive_message(message)
+            self._allotment_gossip.receive_message(message)
+        self._limit_gossip.receive_message(message)
         self._receive_leaving(message.leaving_upstreams, message.vm)
         self._receive_digests(message, host, is_own_region, now)
         for crash in message.crashes:
             self._on_crash(crash)
         for cache_entry in message.met:
-            self._object_gossip.hear(cache_entry, is_own_region)
-        is_new = known is None or known.incarnation != message.incarnation
+            self._object_gossip.note_received(cache_entry, is_own_region)
+        is_new = previous is None or previous.incarnation != message.incarnation
         if is_new and is_own_region:
             log_message("peers:heard", peer=message.vm)
-            # It knows as little of this VM, and need not wait for its turn.
+            # The new VM knows nothing of this one either: send to it at once.
             initial_state = self._allotment_gossip.get_initial_state()
             limits = self._limit_gossip.get_all()
             self._send(
@@ -200,11 +207,12 @@
             )
 
     def _get_initial_cache_entries(self):
-        """Return what a VM that has just started is told of objects.
+        """Return the cache entries for a VM that has just started.
 
-        All of it, by the representatives alone. If each VM of a region told
-        it, 22 of them would send 350 KB at once, over half a second of the
-        weakest links, which are those of 5 Mbit/s.
+        Only the representatives send all entries; the others send none
+        beyond the recent ones (``None``). If every VM of a region sent all,
+        22 of them would send 350 KB at once, which takes the slowest links
+        (5 Mbit/s) more than half a second.
         """
         if self._identity.vm not in pick_representatives(self._get_region_peers()):
             return None
@@ -220,7 +228,7 @@
             for crash in digest.crashes:
                 self._on_crash(crash)
             for cache_entry in digest.met:
-                self._object_gossip.hear(cache_entry, False)
+                self._object_gossip.note_received(cache_entry, False)
         if message.digests and not is_own_region:
             self._known_vms.note_sender(message.region, host)
 
@@ -238,17 +246,17 @@
                 continue
             self._was_busy = busy
             turn += 1
-            near = self._known_vms.get_busy_hosts()
+            region_hosts = self._known_vms.get_busy_hosts()
             remote_hosts = self._get_sharing_hosts()
             limits = self._limit_gossip.get_recent()
-            # Digests go with what is sent more seldom, and other regions have
-            # no use for counts.
+            # Digests are left to the less frequent messages, and other regions
+            # have no use for workspace counts.
             if turn % REMOTE_EVERY:
                 tallies = self._allotment_gossip.get_recent()
-                self._send(near, (), tallies=tallies, limits=limits)
+                self._send(region_hosts, (), tallies=tallies, limits=limits)
             else:
-                self._send(near + remote_hosts, (), limits=limits)
-            peers = len(near) + len(remote_hosts) / REMOTE_EVERY
+                self._send(region_hosts + remote_hosts, (), limits=limits)
+            peers = len(region_hosts) + len(remote_hosts) / REMOTE_EVERY
             await asyncio.sleep(max(MIN_INTERVAL_S, INTERVAL_PER_PEER_S * peers))
 
     async def _send_state_periodically(self):
@@ -258,8 +266,8 @@
             turn += 1
             was_active = self._is_active
             self._is_active = self._compute_active()
-            # One that is active no longer says so to all, who would take it
-            # for dead when it is heard less often.
+            # A VM that stops being active announces it to its whole region,
+            # which would otherwise consider it dead once it sends less often.
             to_whole_region = self._is_active or was_active
             tallies, tells_all = self._allotment_gossip.get_periodic_tallies()
             self._send(
@@ -291,7 +299,7 @@
             self._send_digest()
 
     def _get_sharing_hosts(self):
-        """Return the carriers of the regions whose upstreams this VM uses."""
+        """Return the carriers of other regions that share upstreams in use."""
         regions = set()
         for upstream_id in self._occupancy.get_own():
             upstream = self._registry.upstream_by_id.get(upstream_id)
@@ -300,21 +308,21 @@
         regions.discard(self._identity.region)
         return self._known_vms.get_remote_carriers(regions)
 
-    def _send(self, hosts, digests=None, met=None, **counts):
+    def _send(self, hosts, digests=None, met=None, **fields):
         hosts = list(hosts)
         if not hosts or not self._socket.is_open():
             return
-        message = self._make_message(digests, met)._replace(**counts)
+        message = self._make_message(digests, met)._replace(**fields)
         self._socket.send(message, hosts)
 
     def is_first_representative(self):
-        """Tell whether this VM is the first that speaks for its region."""
+        """Tell whether this VM is its region's first representative."""
         return pick_representatives(self._get_region_peers())[:1] == [self._identity.vm]
 
     def _get_region_peers(self):
-        near = self._known_vms.get_region_peers()
+        region_peers = self._known_vms.get_region_peers()
         own = self._get_own_peer()
-        return [*near, own] if own else near
+        return [*region_peers, own] if own else region_peers
 
     def _send_digest(self):
         peers = self._get_region_peers()
@@ -335,7 +343,7 @@
         self._send(hosts, (), limits=self._limit_gossip.get_recent())
 
     def _get_own_peer(self):
-        """Return this VM as a ``Peer``, ``None`` if it takes no callers."""
+        """Return this VM as a ``Peer``; ``None`` if it accepts no callers."""
         if not self.is_ready() or self.leaving:
             return None
         return make_own_peer(self._identity)._replace(
@@ -363,8 +371,9 @@
             leaving=self.leaving,
             active=self._is_active,
             capacity=self._identity.capacity,
-            # Told once in a round, they would be wrong for most of it; what
-            # upstreams report of their load has the strays in it.
+            # An inactive VM sends so seldom that its counts would mostly be
+            # outdated. Its few requests are part of the load that upstreams
+            # report.
             count_by_number=(
                 self._occupancy.get_own_by_number() if self._is_active else {}
             ),
@@ -372,7 +381,7 @@
             crashes=self._crash_gossip.get_recent(),
             digests=digests,
             met=met,
-            heard=self._known_vms.count_heard(),
+            heard=self._known_vms.count_reachable(),
             leaving_upstreams=self._registry.get_leaving_numbers(),
             **self.get_store_state()._asdict(),
         )
@@ -393,8 +402,8 @@
     def _drop_silent(self):
         now = asyncio.get_running_loop().time()
         for peer in self._fleet.drop_silent(now):
-            # VMs of other regions, and those that carry nothing, are heard
-            # now and then only.
+            # VMs of other regions and inactive ones send messages too seldom
+            # for their silence to be worth a log line.
             if peer.region == self._identity.region and peer.active:
                 log_message("peers:silent", level="warning", peer=peer.vm)
         for region in self.digests.drop_silent(now):
--- a/godwitlanding/gateway/presence.py
+++ b/godwitlanding/gateway/presence.py
@@ -1,4 +1,4 @@
-"""This VM's own object in the store, by which its peers find it."""
+"""Registers this VM's address in the store, so that its peers find it."""
 
 import asyncio
 import random
@@ -15,10 +15,10 @@
 
 
 class Presence(Service):
-    """Writes where this VM is found, unless that stands there already.
+    """Writes this VM's address to the store unless it is there already.
 
-    The object says nothing about whether the VM lives: peers learn that
-    from each other, so that the store need not be written to all the time.
+    The object does not show whether the VM is alive. Peers detect that by
+    gossip messages, which saves periodic writes to the store.
     """
 
     name = "presence"
@@ -33,12 +33,12 @@
         self._is_written = False
 
     async def stop(self):
-        """Write no longer; the object stays for the VM's next start."""
+        """Stop writing; the object is kept for the VM's next start."""
         if self._task:
             self._task.cancel()
 
     def note_stored_object(self, stored):
-        """The store holds this object of the VM (``None``: none)."""
+        """Check the VM's object in the store (``None``: it has none)."""
         if stored and orjson.loads(stored.value) == self._endpoint:
             self._is_written = True
             return
@@ -48,7 +48,7 @@
             self._task = start_task(self._write_until_done(version))
 
     async def _write_until_done(self, version):
-        pause_s = _FIRST_BACKOFF_S
+        backoff_s = _FIRST_BACKOFF_S
         while not self._is_written:
             answer = await self._store.put(
                 self._kind, self._vm, orjson.dumps(self._endpoint), version
@@ -61,12 +61,12 @@
             log_message("presence:not_written", code=refusal.code.name)
             if refusal.code is Code.VERSION_CONFLICT:
                 version = await self._read_version(version)
-            await asyncio.sleep(pause_s * random.uniform(0.5, 1.5))
-            pause_s = min(_MAX_BACKOFF_S, pause_s * 2)
+            await asyncio.sleep(backoff_s * random.uniform(0.5, 1.5))
+            backoff_s = min(_MAX_BACKOFF_S, backoff_s * 2)
 
     async def _read_version(self, version):
-        # A write whose answer was lost has taken effect, or the list that
-        # this VM was told of is an old one.
+        # Either a write took effect although its response was lost, or the
+        # list that held the version was stale.
         held = await self._store.get(self._kind, self._vm)
         if held.is_ok():
             stored = held.unwrap()
--- a/godwitlanding/gateway/regionbalancer.py
+++ b/godwitlanding/gateway/regionbalancer.py
@@ -1,7 +1,7 @@
-"""Follows what share of each service's requests should run in which region.
+"""Balances each service's requests between regions.
 
-The rules are in ``decisions.regionshare``; this knows the upstreams, the
-objects, and what arrives in each region.
+The rules are in ``decisions.regionshare``. This module applies them to the
+upstreams, the cached objects and the arrival rates of each region.
 """
 
 import asyncio
@@ -20,17 +20,17 @@
 )
 
 UPDATE_INTERVAL_S = 0.5
-# A region whose capacity changes by more than this share between two looks
-# has lost or gained upstreams, and its share moves at once.
+# A region whose slots change by more than this share between two updates has
+# lost or gained upstreams; the shares then change at once, not step by step.
 JUMP_SHARE = 0.34
-# Shares are logged when they have moved this far since the last line.
+# Shares are logged when they have changed this much since the last log line.
 LOG_CHANGE = 0.05
 
 
 class RegionBalancer:
-    """The regions' shares by service, and who is dealt out to which.
+    """Computes the regions' shares by service and picks regions by them.
 
-    ``ejected`` is the set of upstreams that cannot be reached.
+    ``ejected`` is the set of unreachable upstreams.
     """
 
     def __init__(self, identity, registry, peers, worktimes, homes, limits, ejected):
@@ -43,7 +43,7 @@
         self._ejected = ejected
         self._logged_by_service = {}
         self._slots_by_service = {}
-        self._dealer_by_service = {}
+        self._selector_by_service = {}
         self._forecast_by_service_and_region = {}
         self.shares_by_service = {}
         # This VM's own region first.
@@ -53,24 +53,24 @@
         )
 
     async def run(self):
-        """Plan again and again."""
+        """Update the shares periodically."""
         while True:
             self._update_shares()
             await asyncio.sleep(UPDATE_INTERVAL_S)
 
     def pick_region(self, service, regions, key):
-        """Return which of ``regions``, nearest first, a request runs in."""
+        """Return which of ``regions`` (nearest first) a request runs in."""
         shares = self.shares_by_service.get(service, {})
         if not any(shares.values()) or len(regions) == 1:
             return regions[0]
-        dealer = self._dealer_by_service.get(service)
-        if dealer is None:
-            dealer = self._dealer_by_service[service] = RegionDealer(self._region)
-        region = dealer.pick(shares, key)
+        selector = self._selector_by_service.get(service)
+        if selector is None:
+            selector = self._selector_by_service[service] = RegionDealer(self._region)
+        region = selector.pick(shares, key)
         return region if region in regions else regions[0]
 
     def can_cache_all_objects(self, service, region):
-        """Tell whether a region's upstreams can keep every object in mind."""
+        """Tell whether a region's upstreams can cache every object."""
         upstreams = len(self._registry.get_usable(service, region))
         return get_known_share(upstreams, self._homes.get_objects(service)) >= 1.0
 
@@ -82,15 +82,15 @@
             load_by_region = self._get_loads(service)
             if self._region not in load_by_region:
                 continue
-            wanted = get_shares(self._region, load_by_region)
-            self._move(service, wanted, load_by_region)
+            target = get_shares(self._region, load_by_region)
+            self._update_service(service, target, load_by_region)
 
     def _get_loads(self, service):
         work_s = self._worktimes.get_mean_s(service)
         rate_by_region = self._forecast(service, self._peers.get_arrival_rates(service))
         objects = self._homes.get_objects(service)
         slots_by_region = {}
-        known_by_region = {}
+        cacheable_by_region = {}
         for region in self.regions:
             upstreams = [
                 upstream
@@ -100,20 +100,25 @@
             slots_by_region[region] = sum(
                 self._count_slots(upstream, work_s) for upstream in upstreams
             )
-            # One that may serve a part only can keep a part of its objects.
-            whole = sum(self._get_part(upstream, work_s) for upstream in upstreams)
-            known_by_region[region] = get_known_share(whole, objects, KEPT_OBJECTS)
+            # An upstream whose limit leaves only a part of its slots usable
+            # counts as that part of a cache.
+            usable_upstreams = sum(
+                self._get_usable_share(upstream, work_s) for upstream in upstreams
+            )
+            cacheable_by_region[region] = get_known_share(
+                usable_upstreams, objects, KEPT_OBJECTS
+            )
         if not any(rate_by_region.values()):
-            # Nothing was measured yet: as if each region had an equal part
-            # of what all slots can serve.
-            even = sum(slots_by_region.values()) / work_s / len(slots_by_region)
-            rate_by_region = dict.fromkeys(slots_by_region, even)
+            # Nothing is measured yet: assume that each region gets an equal
+            # part of what all slots can serve.
+            equal_rate = sum(slots_by_region.values()) / work_s / len(slots_by_region)
+            rate_by_region = dict.fromkeys(slots_by_region, equal_rate)
         load_by_region = {}
         for region, slots in slots_by_region.items():
             rate = rate_by_region.get(region, 0.0)
             capacity = slots / work_s
-            if known_by_region[region] < 1.0:
-                capacity = min(capacity, rate * known_by_region[region] / FULL)
+            if cacheable_by_region[region] < 1.0:
+                capacity = min(capacity, rate * cacheable_by_region[region] / FULL)
             load_by_region[region] = RegionLoad(rate, capacity)
         return load_by_region
 
@@ -129,23 +134,23 @@
         return forecast_by_region
 
     def _count_slots(self, upstream, work_s):
-        # One that is four times as slow carries a quarter.
-        slow = 1.0 / max(1.0, self._worktimes.get_factor(upstream.id))
-        return upstream.slots * min(slow, self._get_part(upstream, work_s))
+        # An upstream that is four times as slow serves a quarter.
+        speed = 1.0 / max(1.0, self._worktimes.get_factor(upstream.id))
+        return upstream.slots * min(speed, self._get_usable_share(upstream, work_s))
 
-    def _get_part(self, upstream, work_s):
-        """Return the part of its slots that an upstream's limit can fill."""
+    def _get_usable_share(self, upstream, work_s):
+        """Return the share of an upstream's slots that its limit can fill."""
         limit_per_s = self._limits.get(upstream.id)
         if limit_per_s is None:
             return 1.0
         return min(1.0, limit_per_s * work_s / upstream.slots)
 
-    def _move(self, service, wanted, load_by_region):
+    def _update_service(self, service, target, load_by_region):
         jump = self._has_jumped(service, load_by_region)
-        held = self.shares_by_service.get(service, {})
-        moved = wanted if jump else step(held, wanted, UPDATE_INTERVAL_S)
-        self.shares_by_service[service] = moved
-        self._log(service, moved, jump, load_by_region)
+        current = self.shares_by_service.get(service, {})
+        updated = target if jump else step(current, target, UPDATE_INTERVAL_S)
+        self.shares_by_service[service] = updated
+        self._log(service, updated, jump, load_by_region)
 
     def _has_jumped(self, service, regions):
         """Tell whether a region has lost or gained many slots."""
--- a/godwitlanding/gateway/remotetargets.py
+++ b/godwitlanding/gateway/remotetargets.py
@@ -1,22 +1,22 @@
-"""Which VMs of other regions are sent this region's digest."""
+"""Picks the VMs of other regions that receive this region's digest."""
 
 import random
 
 from godwitlanding.decisions.digest import TARGETS
 
-# Who has told something from another region is told each time, one more VM
-# there every this many times. Whoever is told passes it on to its neighbours,
-# so with one more each time they would hear the same from all sides.
+# In each region, the VM from which a digest was last received is sent every
+# digest, and one more VM is sent one digest in this many. Recipients forward a
+# digest to their whole region, so one more VM each time would flood it.
 SPREAD_EVERY = 4
 
 
 def get_hosts(addresses):
-    """Return the IP numbers of ``host:port`` addresses."""
+    """Return the IP addresses of ``host:port`` addresses."""
     return [address.partition(":")[0] for address in addresses]
 
 
 class RemoteTargets:
-    """Picks them by the digests of their regions and by who told those."""
+    """Picks targets by the regions' digests and the senders of those."""
 
     def __init__(self, digests):
         self._digests = digests
@@ -24,14 +24,14 @@
         self._turn = 0
 
     def note_sender(self, region, host):
-        """A VM of another region has told this one a digest."""
+        """Record the VM that a digest was received from."""
         self._sender_by_region[region] = host
 
     def pick(self, hosts_by_region):
         """Return a few hosts of each region, given all that are listed.
 
-        They are its carriers, as far as they are known: those tell all their
-        neighbours.
+        Carriers are preferred where they are known, since they send to all
+        VMs of their region.
         """
         self._turn += 1
         targets = []
--- a/godwitlanding/gateway/savedobjectmap.py
+++ b/godwitlanding/gateway/savedobjectmap.py
@@ -1,12 +1,13 @@
-"""Keeps in the store which upstreams know which objects.
+"""Saves in the store which upstreams have cached which objects.
 
-Load pattern: every VM loses power at once, and upstreams do not. They still
-know their objects, but nobody knows which, and each object is learnt anew
-wherever chance sends it: a second of slots each, in the seconds when the
-callers of the outage come back. So one VM of each region writes down now and
-then what the upstreams of its region know, and a VM that starts reads it.
+Load pattern: all VMs lose power at once while upstreams keep running. The
+upstreams still have their objects cached, but no VM knows which. Requests go
+to random upstreams, each of which loads the object again: that takes a slot
+for one second per object, just when the callers of the outage come back. So
+one VM of each region periodically saves the cache entries of its region's
+upstreams, and a VM that starts reads them.
 
-What is written is some seconds old, which costs no more than a late answer
+The saved entries are some seconds old, which costs at most one late response
 for each object that has moved since.
 """
 
@@ -23,34 +24,38 @@
 from godwitlanding.base.tasks import start_task
 from godwitlanding.decisions.objectmap import CacheEntry
 
-# Objects are learnt within seconds of a start, and few after that.
+# Most objects are cached within seconds of a start, and few later.
 SAVE_INTERVAL_S = 4.0
-# 8 bytes each and a third for the encoding: half of the store's largest value.
+# 8 bytes each, and a third more for the encoding: half of the largest value
+# that the store accepts.
 MAX_CACHE_ENTRIES = 40_000
 _PAIR = struct.Struct("<II")
 
 
-def encode_cache_entries(meetings):
-    """Return meetings as an object's value."""
-    data = b"".join(_PAIR.pack(*cache_entry) for cache_entry in meetings)
+def encode_cache_entries(cache_entries):
+    """Return cache entries as an object's value."""
+    data = b"".join(_PAIR.pack(*cache_entry) for cache_entry in cache_entries)
     return orjson.dumps({"met": base64.b64encode(data).decode()})
 
 
 def decode_cache_entries(value):
-    """Return the meetings in an object's value.
+    """Return the cache entries in an object's value.
 
-    Raises ``ValueError``, ``KeyError`` or ``TypeError`` for any other bytes.
+    Raises ``ValueError``, ``KeyError`` or ``TypeError`` if it is invalid.
     """
     text = orjson.loads(value)["met"]
     try:
         data = base64.b64decode(text, validate=True)
         return [CacheEntry(*pair) for pair in _PAIR.iter_unpack(data)]
     except (binascii.Error, struct.error) as error:
-        raise ValueError(f"no meetings: {error}") from None
+        raise ValueError(f"invalid cache entries: {error}") from None
 
 
 class SavedObjectMap(Service):
-    """Reads the map at the start, and writes it where this VM is the first."""
+    """Reads the entries at the start, and saves them periodically.
+
+    Only the first representative of a region saves.
+    """
 
     name = "savedmap"
     needs = ("registry", "peers")
@@ -63,26 +68,26 @@
         self._registry = None
         self._peers = None
         self._task = None
-        # Version of the region's object, None where that is not known.
+        # Version of the region's object, ``None`` if not known.
         self._version = None
         self._saved = frozenset()
 
     async def start(self, kernel):
-        """Begin to read, then to write."""
+        """Begin to read the entries and then to save them."""
         self._registry = kernel.get("registry")
         self._peers = kernel.get("peers")
         self._task = start_task(self._run())
 
     async def stop(self):
-        """Write no more."""
+        """Stop saving."""
         self._task.cancel()
 
     def get_status(self):
-        """Return how many meetings were saved last."""
+        """Return the number of cache entries that were saved last."""
         return {"saved": len(self._saved)}
 
     def note_restored(self):
-        """The store has come back from an older copy; the map may be lost."""
+        """Save again: the store was restored and may have lost the entries."""
         self._version = None
         self._saved = frozenset()
 
@@ -96,7 +101,7 @@
     async def _read(self):
         answer = await self._store.snapshot(self._kind, allow_stale=True)
         if answer.is_err():
-            # What upstreams know is learnt anew, by this VM or by its peers.
+            # The entries are collected again by this VM and its peers.
             log_message(
                 "savedmap:not_read", level="warning", code=answer.unwrap_err().code.name
             )
@@ -126,19 +131,19 @@
             return []
 
     async def _save(self):
-        meetings = [
+        cache_entries = [
             cache_entry
             for cache_entry in self._object_map.get_cache_entries(MAX_CACHE_ENTRIES)
             if self._is_in_region(cache_entry.upstream)
         ]
-        if frozenset(meetings) == self._saved:
+        if frozenset(cache_entries) == self._saved:
             return
         if self._version is None and not await self._find_version():
             return
-        value = encode_cache_entries(meetings)
+        value = encode_cache_entries(cache_entries)
         written = await self._store.put(self._kind, self._region, value, self._version)
         if written.is_err():
-            # Another VM was the first for a while, or the answer was lost.
+            # Another VM has saved meanwhile, or the response was lost.
             self._version = None
             log_message(
                 "savedmap:not_saved",
@@ -147,8 +152,10 @@
             )
             return
         self._version = written.unwrap()
-        self._saved = frozenset(meetings)
-        log_message("savedmap:saved", meetings=len(meetings), version=self._version)
+        self._saved = frozenset(cache_entries)
+        log_message(
+            "savedmap:saved", meetings=len(cache_entries), version=self._version
+        )
 
     def _is_in_region(self, number):
         upstream = self._registry.upstream_by_id.get(
--- a/godwitlanding/gateway/sourceselector.py
+++ b/godwitlanding/gateway/sourceselector.py
@@ -1,7 +1,7 @@
-"""Decides again and again whether this VM reads the store or is fed.
+"""Selects whether this VM reads the store itself or follows another VM.
 
-The rules are in ``decisions.reading``; this service knows the neighbours,
-the mirrors and the feed, and lets them do it.
+The rules are in ``decisions.storereaders``. This service applies them to the
+peers' states and controls the mirrors and the feed.
 """
 
 import asyncio
@@ -27,10 +27,10 @@
 
 
 class SourceSelector(Service):
-    """Starts and stops the mirrors, and names the feed's source.
+    """Starts and stops the mirrors, and sets the feed's source.
 
-    At its start a VM reads every list at once, whoever else does: after a
-    power cut there is nobody to be fed by, and waiting to find out would keep
+    At its start a VM reads every list at once, whatever other VMs do: after a
+    power cut there is no VM to follow, and finding this out first would keep
     callers waiting.
     """
 
@@ -53,8 +53,8 @@
         self._distrusted_until_by_host = {}
 
     async def start(self, kernel):
-        """Begin to decide."""
-        self._feed.reads = self.reads
+        """Read the lists and begin to decide periodically."""
+        self._feed.is_reading = self.is_reading
         self._reader_seen_at = _now()
         self._current_at = _now()
         self._tasks = [
@@ -63,39 +63,39 @@
         ]
 
     async def stop(self):
-        """Decide no longer."""
+        """Stop deciding."""
         for task in self._tasks:
             task.cancel()
 
     def get_status(self):
-        """Return whether this VM reads the store."""
-        return {"reads": self.reads(), "behind": self._behind_since is not None}
+        """Return whether this VM reads the store, and if it is behind."""
+        return {"reads": self.is_reading(), "behind": self._behind_since is not None}
 
-    def reads(self):
-        """Tell whether the store answers this VM for every kind."""
+    def is_reading(self):
+        """Tell whether every mirror follows the store and is answered."""
         return all(
             mirror.is_following() and mirror.has_answered and not mirror.is_lost
             for mirror in self._mirrors
         )
 
     def is_fresh(self):
-        """Tell whether changes in the store reach this VM within moments."""
-        if self.reads() or self._feed.has_reading_source():
+        """Tell whether changes in the store reach this VM without delay."""
+        if self.is_reading() or self._feed.has_reading_source():
             return True
-        # At the start, until it is decided who reads.
+        # At the start, until it is decided which VMs read.
         return all(
             mirror.begins_old or mirror.was_just_listed() for mirror in self._mirrors
         )
 
     def get_staleness_s(self):
-        """Return the seconds for which no change can have reached this VM."""
+        """Return for how many seconds this VM may have missed changes."""
         return _now() - self._current_at
 
     def get_store_state(self):
-        """Return what the peers are told."""
+        """Return the ``StoreState`` to send to peers."""
         failed = self._has_failed() or self._is_lost()
         changed_at = tuple(mirror.changed_at for mirror in self._mirrors)
-        return StoreState(self.reads(), failed, changed_at)
+        return StoreState(self.is_reading(), failed, changed_at)
 
     def _has_failed(self):
         return _now() < self._failed_until
@@ -104,12 +104,12 @@
         return any(mirror.is_lost for mirror in self._mirrors)
 
     async def _read_lists(self):
-        old = [mirror for mirror in self._mirrors if mirror.begins_old]
+        stale = [mirror for mirror in self._mirrors if mirror.begins_old]
         fresh = [mirror for mirror in self._mirrors if not mirror.begins_old]
         reached = asyncio.get_running_loop().create_future()
         answered = await asyncio.gather(
             self._read_fresh(fresh, reached),
-            *(mirror.list_once(reached) for mirror in old),
+            *(mirror.list_once(reached) for mirror in stale),
         )
         if not all(answered):
             self._failed_until = _now() + FAILED_S
@@ -118,7 +118,7 @@
         self._may_decide_reading = True
 
     async def _read_fresh(self, mirrors, reached):
-        """Read lists, and tell ``reached`` up to which version they go."""
+        """Read lists and set ``reached`` to the version they are good for."""
         answered = await asyncio.gather(*(mirror.list_once() for mirror in mirrors))
         is_known = bool(mirrors) and all(answered)
         reached.set_result(max(m.revision for m in mirrors) if is_known else None)
@@ -131,18 +131,18 @@
 
     def _decide(self):
         now = _now()
-        if self.reads() or self._is_fed_by_reader():
+        if self.is_reading() or self._follows_reader():
             self._current_at = now
         neighbour_by_vm = self._get_neighbours()
         if any(neighbour.reads for neighbour in neighbour_by_vm.values()):
             self._reader_seen_at = now
-        near = [self._fleet.peer_by_vm[vm] for vm in neighbour_by_vm]
-        order = get_order([self._own, *near])
+        region_peers = [self._fleet.peer_by_vm[vm] for vm in neighbour_by_vm]
+        order = get_order([self._own, *region_peers])
         if self._may_decide_reading:
             self._decide_reading(order, neighbour_by_vm, now)
         self._decide_source(order, neighbour_by_vm, now)
 
-    def _is_fed_by_reader(self):
+    def _follows_reader(self):
         peers = self._fleet.peer_by_vm.values()
         return self._feed.has_reading_source() and any(
             peer.reads for peer in peers if peer.host == self._feed.source
@@ -158,38 +158,38 @@
     def _decide_reading(self, order, neighbour_by_vm, now):
         if self._is_lost():
             self._failed_until = now + FAILED_S
-        own = Neighbour(self._own.vm, self.reads(), self._has_failed())
+        own = Neighbour(self._own.vm, self.is_reading(), self._has_failed())
         nobody_for_s = now - self._reader_seen_at
-        wanted = should_read(own, order, neighbour_by_vm, nobody_for_s)
+        should_follow = should_read(own, order, neighbour_by_vm, nobody_for_s)
         is_following = self._mirrors[0].is_following()
-        if wanted != is_following:
-            if not wanted and not own.failed:
+        if should_follow != is_following:
+            if not should_follow and not own.failed:
                 if not may_rest(own, order, neighbour_by_vm):
                     return
             log_message(
-                "reader:reads" if wanted else "reader:rests",
+                "reader:reads" if should_follow else "reader:rests",
                 position=order.index(own.vm),
                 neighbours=len(order) - 1,
                 nobody_for_s=round(nobody_for_s, 2),
                 failed=own.failed,
             )
-        if wanted:
+        if should_follow:
             self._follow_store(own, neighbour_by_vm)
         else:
             for mirror in self._mirrors:
                 mirror.stop_following()
 
     def _follow_store(self, own, neighbour_by_vm):
-        # Whether the store has been away is known from those that it did not
-        # answer; a reader that was lost itself says nothing of the store.
+        # VMs whose calls failed show that the store was unreachable. The loss
+        # of a reader VM alone does not.
         neighbours = [own, *neighbour_by_vm.values()]
-        was_away = any(neighbour.failed for neighbour in neighbours)
-        lost_at = self._reader_seen_at if was_away else None
+        was_unreachable = any(neighbour.failed for neighbour in neighbours)
+        lost_at = self._reader_seen_at if was_unreachable else None
         first, *others = self._mirrors
         first.follow(lost_at)
-        # One call tells whether the store is there. Where all four asked
-        # again and again, a store that is short of calls would spend them on
-        # refusals, and each is paid for.
+        # A single mirror probes whether the store answers. If all four
+        # retried, a store that limits the rate of calls would spend it on
+        # rejections, and every call is paid for.
         for mirror in others:
             if first.has_answered and not first.is_lost:
                 mirror.follow(lost_at)
@@ -209,7 +209,7 @@
             self._catch_up(newer, now)
         if self._is_catching_up:
             return
-        if self.reads():
+        if self.is_reading():
             self._feed.follow("")
         else:
             self._follow_neighbour(order, neighbour_by_vm, now)
@@ -221,10 +221,12 @@
             if self._is_trusted(self._fleet.peer_by_vm[vm].host, now)
         }
         digests = self._digests.digest_by_region.values()
-        elsewhere = [digest.source for digest in digests if digest.source]
-        held = self._feed.source
+        remote_sources = [digest.source for digest in digests if digest.source]
+        current = self._feed.source
         vm_by_host = {self._fleet.peer_by_vm[vm].host: vm for vm in trusted}
-        source = choose_source(order, trusted, vm_by_host.get(held, held), elsewhere)
+        source = choose_source(
+            order, trusted, vm_by_host.get(current, current), remote_sources
+        )
         peer = self._fleet.peer_by_vm.get(source)
         self._feed.follow(peer.host if peer else source)
 
@@ -232,7 +234,7 @@
         return now >= self._distrusted_until_by_host.get(host, 0.0)
 
     def _catch_up(self, newer, now):
-        """Take from ``newer`` what did not come the usual way."""
+        """Follow the VM in ``newer`` to get the changes that were missed."""
         host, kinds = newer
         log_message(
             "reader:behind",
@@ -252,7 +254,10 @@
         self._feed.follow(host)
 
     def _find_newer(self):
-        """Return the IP number of who knows of newer changes, and of what."""
+        """Return the IP address of a VM with newer changes, and their kinds.
+
+        ``None`` if there is no such VM.
+        """
         for peer in self._fleet.peer_by_vm.values():
             kinds = self._get_newer_kinds(peer.changed_at)
             if kinds:
--- a/godwitlanding/gateway/workspacegauges.py
+++ b/godwitlanding/gateway/workspacegauges.py
@@ -1,7 +1,7 @@
-"""What the largest workspaces ask for and have, as gauges.
+"""Exports limits and demand of the busiest workspaces as gauges.
 
 A label for each of thousands of workspaces would cost more than all other
-metrics; whoever is refused is most often among those that ask for most.
+metrics. Workspaces whose requests are rejected are usually among the busiest.
 """
 
 MAX_SHOWN = 8
@@ -9,7 +9,7 @@
 
 
 class WorkspaceGauges:
-    """Shows ``allotments`` among the metrics of ``counters``."""
+    """Registers gauges of ``allotments`` with ``counters``."""
 
     def __init__(self, allotments, counters):
         self._allotments = allotments
@@ -20,7 +20,10 @@
         counters.observe("workspace_sent", self._make_reader("sent"))
 
     def read(self, field):
-        """Return a field of each workspace that is shown, by its name."""
+        """Return a status field of the busiest workspaces, by their name.
+
+        All other workspaces are summed up under ``OTHERS``.
+        """
         status = self._allotments.get_status()
         order = sorted(status, key=lambda name: -status[name]["asked_per_s"])
         shown = {name: status[name][field] for name in order[:MAX_SHOWN]}
--- a/godwitlanding/tests/gateway/test_feed.py
+++ b/godwitlanding/tests/gateway/test_feed.py
@@ -1,4 +1,4 @@
-"""VMs that feed each other what they know of the store."""
+"""Replication of the store's objects between VMs."""
 
 import asyncio
 from types import SimpleNamespace
@@ -21,7 +21,7 @@
 
 
 class Vm:
-    """A feed and one mirror that only it fills."""
+    """A feed with one mirror that is not updated in any other way."""
 
     def __init__(self, name, ip):
         self.held = {}
@@ -56,7 +56,7 @@
             await asyncio.sleep(0.01)
 
 
-async def test_vm_is_fed_what_there_is_and_what_comes(vms):
+async def test_follower_receives_existing_objects_and_changes(vms):
     source, fed, _ = vms
     source.mirror.apply_change_set(ChangeSet(5, 5, (make_object("a"),), (), True))
     fed.feed.follow(source.ip)
@@ -66,9 +66,9 @@
     await wait_until(lambda: fed.held == {"b": b"v"})
 
 
-async def test_changes_travel_on_through_a_fed_vm(vms):
-    # A VM that is fed itself feeds another, as after an outage in which one
-    # VM of a region learnt from another region.
+async def test_follower_forwards_changes(vms):
+    # A follower has a follower itself, as after an outage in which one VM of a
+    # region has followed a VM of another region.
     first, second, third = vms
     third.feed.follow(second.ip)
     second.feed.follow(first.ip)
@@ -77,7 +77,7 @@
     await wait_until(lambda: third.held == {"a": b"v"})
 
 
-async def test_large_states_come_in_parts(vms):
+async def test_large_state_is_sent_in_parts(vms):
     source, fed, _ = vms
     fed.mirror.apply_change_set(ChangeSet(3, 3, (make_object("old"),), (), True))
     value = b"x" * (MAX_PART_BYTES // 2)
@@ -87,7 +87,7 @@
     await wait_until(lambda: len(fed.held) == 5 and "old" not in fed.held)
 
 
-async def test_vm_that_knows_all_is_sent_nothing(vms):
+async def test_up_to_date_follower_is_sent_nothing(vms):
     source, fed, _ = vms
     change_set = ChangeSet(5, 5, (make_object("a"),), (), True)
     source.mirror.apply_change_set(change_set)
@@ -95,14 +95,14 @@
     taken = []
     fed.mirror.apply_change_set = taken.append
     fed.feed.follow(source.ip)
-    source.feed.reads = lambda: True
+    source.feed.is_reading = lambda: True
     await wait_until(fed.feed.has_reading_source)
     assert taken == []
 
 
-async def test_stopped_source_is_left(vms):
+async def test_stopped_source_is_dropped(vms):
     source, fed, _ = vms
-    source.feed.reads = lambda: True
+    source.feed.is_reading = lambda: True
     fed.feed.follow(source.ip)
     await wait_until(fed.feed.has_reading_source)
     await source.feed.stop()
@@ -110,34 +110,34 @@
     assert not fed.feed.has_reading_source()
 
 
-async def test_silent_source_is_left(vms):
-    # The source's VM freezes. Its connection stays open and nothing comes;
-    # the VM would go on with old state for as long as that lasts.
+async def test_silent_source_is_dropped(vms):
+    # The source's VM hangs while its connection stays open. The follower would
+    # go on with stale state for as long as that lasts.
     source, fed, _ = vms
-    source.feed.reads = lambda: True
+    source.feed.is_reading = lambda: True
     fed.feed.follow(source.ip)
     await wait_until(fed.feed.has_reading_source)
     source.feed._heartbeat_task.cancel()
     await wait_until(lambda: not fed.feed.has_reading_source())
 
 
-async def test_source_that_cannot_read_says_so(vms):
+async def test_source_reports_that_it_no_longer_reads_the_store(vms):
     source, fed, _ = vms
-    source.feed.reads = lambda: True
+    source.feed.is_reading = lambda: True
     fed.feed.follow(source.ip)
     await wait_until(fed.feed.has_reading_source)
-    source.feed.reads = lambda: False
+    source.feed.is_reading = lambda: False
     await wait_until(lambda: not fed.feed.has_reading_source())
     assert fed.feed.source == source.ip
 
 
-async def test_nobody_listens_at_the_source(vms):
+async def test_unreachable_source_is_dropped(vms):
     fed = vms[0]
     fed.feed.follow(vms[0].ip[:-3] + "199")
     await wait_until(lambda: not fed.feed.source)
 
 
-async def test_former_source_is_not_listened_to(vms):
+async def test_updates_of_the_former_source_are_ignored(vms):
     first, second, fed = vms
     fed.feed.follow(first.ip)
     await wait_until(lambda: first.feed._followers)
@@ -150,10 +150,10 @@
     assert fed.held == {"b": b"v"}
 
 
-async def test_entry_that_was_dropped_without_a_change_of_the_store_is_gone(vms):
-    # After an outage a source gives up an entry that did not come back. No
-    # revision tells of that; a VM that was not fed at that moment would send
-    # to an address that may be another service's by then.
+async def test_entry_dropped_without_a_change_in_the_store_is_removed(vms):
+    # After an outage a source drops an entry that did not reappear, which does
+    # not change its revision. A VM that was not following at that moment would
+    # go on sending to an address that may belong to another service by then.
     source, fed, _ = vms
     change_set = ChangeSet(5, 5, (make_object("a"), make_object("b")), (), True)
     source.mirror.apply_change_set(change_set)
--- a/godwitlanding/tests/gateway/test_gossipmessage.py
+++ b/godwitlanding/tests/gateway/test_gossipmessage.py
@@ -1,4 +1,4 @@
-"""What VMs tell each other, and bytes that are none of it."""
+"""Encoding and decoding of gossip messages."""
 
 import pytest
 
@@ -48,13 +48,13 @@
 )
 
 
-def test_bulletin_comes_back_as_it_was():
+def test_message_round_trips():
     assert decode_message(encode_message(MESSAGE)) == MESSAGE
 
 
 @pytest.mark.parametrize("data", [b"\xff" * 40, b"GET / HTTP/1.1\r\n\r\n", b"\x10"])
-def test_other_bytes_are_refused(data):
-    # Anything may arrive on an open port. An error that nobody expects would
-    # end what listens there.
+def test_invalid_bytes_are_rejected(data):
+    # Any bytes may arrive on an open port. An unexpected exception would stop
+    # the receiver.
     with pytest.raises(ValueError):
         decode_message(data)
--- a/godwitlanding/tests/gateway/test_mirror.py
+++ b/godwitlanding/tests/gateway/test_mirror.py
@@ -1,4 +1,4 @@
-"""How a kind of the store's objects is kept in step through faults."""
+"""Mirrors of the store's objects under faults of the store."""
 
 import asyncio
 
@@ -27,10 +27,10 @@
 
 
 class ScriptedStore:
-    """Answers each call with the next step of a script, then waits for ever.
+    """Answers each call with the next step of a script, then hangs.
 
-    A step is ``(call, answer)``; a call that the script does not expect
-    next fails the test.
+    A step is ``(call, answer)``; a call other than that of the next step fails
+    the test.
     """
 
     def __init__(self, *steps):
@@ -54,19 +54,19 @@
         return answer
 
 
-def listed(version, *objects):
+def list_step(version, *objects):
     return "snapshot", Ok(Snapshot(version, objects))
 
 
-def watched(version, *events):
+def watch_step(version, *events):
     return "watch", Ok(WatchBatch(version, events))
 
 
-def failed(call, code):
+def failed_step(call, code):
     return call, Err(make_refusal(code))
 
 
-def after_s(seconds, step):
+def delayed_step(seconds, step):
     call, answer = step
 
     async def wait():
@@ -77,18 +77,18 @@
 
 
 def make_outage_steps():
-    """Return an outage of 3 s after which only ``a`` is back at once."""
+    """Return an outage of 3 s after which only ``a`` reappears at once."""
     return [
-        listed(5, make_object("a"), make_object("b")),
-        failed("watch", Code.PLATFORM_UNAVAILABLE),
-        after_s(3, failed("snapshot", Code.PLATFORM_UNAVAILABLE)),
-        listed(8),
-        watched(9, WatchEvent(make_object("a", 9), False)),
+        list_step(5, make_object("a"), make_object("b")),
+        failed_step("watch", Code.PLATFORM_UNAVAILABLE),
+        delayed_step(3, failed_step("snapshot", Code.PLATFORM_UNAVAILABLE)),
+        list_step(8),
+        watch_step(9, WatchEvent(make_object("a", 9), False)),
     ]
 
 
 def make_mirror(*steps, guard=None, **keywords):
-    """Return a mirror of a scripted store, the store, and what is held."""
+    """Return a mirror of a scripted store, the store, and applied values."""
     store = ScriptedStore(*steps)
     held = {}
 
@@ -102,7 +102,7 @@
 
 
 async def follow(seconds, *steps, guard=None):
-    """Return what is held after a time, and the calls that were made."""
+    """Return the values after some seconds, and the calls that were made."""
     mirror, store, held = make_mirror(*steps, guard=guard)
     mirror.follow()
     await asyncio.sleep(seconds)
@@ -110,10 +110,10 @@
     return held, store.calls
 
 
-async def test_watch_goes_on_from_where_the_last_one_ended():
+async def test_watch_continues_from_the_previous_revision():
     event = WatchEvent(make_object("b", 9), False)
     held, calls = await follow(
-        5, listed(5, make_object("a")), watched(9, event), watched(12)
+        5, list_step(5, make_object("a")), watch_step(9, event), watch_step(12)
     )
     assert held == {"a": b"v", "b": b"v"}
     assert calls == [("snapshot", None), ("watch", 5), ("watch", 9), ("watch", 12)]
@@ -124,117 +124,126 @@
     [Code.PLATFORM_UNAVAILABLE, Code.RATE_LIMITED, Code.WATCH_EXPIRED],
     ids=lambda code: code.name,
 )
-async def test_cut_watch_is_followed_by_a_list(code):
-    # The store drops its history and cuts the watches while a zone is being
-    # evacuated. A watch that is sent again from the old revision is taken,
-    # but says nothing until the next change, many seconds later; meanwhile
-    # the VM goes on sending requests to the evacuated zone.
+async def test_failed_watch_is_followed_by_a_list(code):
+    # The store drops its history and interrupts the watches while a zone is
+    # being evacuated. A watch resumed from the old revision is accepted, but
+    # returns nothing until the next change, many seconds later; meanwhile the
+    # VM goes on sending requests to the evacuated zone.
     held, calls = await follow(
         5,
-        listed(5, make_object("a")),
-        failed("watch", code),
-        listed(8, make_object("a"), make_object("evacuated", 7)),
+        list_step(5, make_object("a")),
+        failed_step("watch", code),
+        list_step(8, make_object("a"), make_object("evacuated", 7)),
     )
     assert "evacuated" in held
     assert calls[-1] == ("watch", 8)
 
 
-async def test_list_drops_what_vanished_while_nothing_was_heard():
-    # Objects are removed while the store cannot be reached. If the list that
-    # follows did not drop them, callers would be sent to what is gone.
+async def test_list_removes_objects_deleted_during_an_outage():
+    # Objects are deleted while the store cannot be reached. If the list that
+    # follows did not remove them, requests would go to deleted upstreams.
     held, _ = await follow(
         5,
-        listed(5, make_object("a"), make_object("b")),
-        failed("watch", Code.WATCH_EXPIRED),
-        listed(8, make_object("a")),
+        list_step(5, make_object("a"), make_object("b")),
+        failed_step("watch", Code.WATCH_EXPIRED),
+        list_step(8, make_object("a")),
     )
     assert held == {"a": b"v"}
 
 
-async def test_older_version_never_replaces_a_newer_one():
-    # A list may be answered by a part of the store that lags. Taking its
-    # older version would undo a change that is in force.
+async def test_older_version_does_not_replace_a_newer_one():
+    # A list may come from a replica of the store that lags. Applying its older
+    # version would undo a change that is in force.
     held, _ = await follow(
         5,
-        listed(9, make_object("a", 9, b"new")),
-        failed("watch", Code.WATCH_EXPIRED),
-        listed(9, make_object("a", 4, b"old")),
+        list_step(9, make_object("a", 9, b"new")),
+        failed_step("watch", Code.WATCH_EXPIRED),
+        list_step(9, make_object("a", 4, b"old")),
     )
     assert held == {"a": b"new"}
 
 
-async def test_entries_that_lapsed_in_an_outage_are_kept_until_they_are_back():
-    # Upstreams cannot renew their entries while the store is down, and the
-    # store drops them. Believed at once, every upstream would be out of use
-    # at the moment when the store returns.
+async def test_entries_that_expired_in_an_outage_are_kept_until_they_reappear():
+    # Upstreams cannot renew their entries while the store is down, so the
+    # entries expire. If the removals were applied at once, every upstream
+    # would be unused when the store returns.
     steps = make_outage_steps()
     held, _ = await follow(4.5, *steps, guard=LapseGuard())
     assert held == {"a": b"v", "b": b"v"}
 
 
-async def test_entries_that_are_not_back_in_time_are_gone():
-    # The upstream ended during the outage. Kept for longer, its address
-    # might belong to an upstream of another service.
+async def test_entries_that_do_not_reappear_in_time_are_removed():
+    # The upstream stopped during the outage. If its entry were kept longer,
+    # its address might belong to an upstream of another service by then.
     steps = make_outage_steps()
-    steps.append(after_s(BACK_WITHIN_S + 0.1, watched(9)))
+    steps.append(delayed_step(BACK_WITHIN_S + 0.1, watch_step(9)))
     held, _ = await follow(8, *steps, guard=LapseGuard())
     assert held == {"a": b"v"}
 
 
-def whole(revision, *objects):
+def full_change_set(revision, *objects):
     changed_at = max((stored.version for stored in objects), default=0)
     return ChangeSet(revision, changed_at, objects, (), True)
 
 
-# What is held when another VM's mirror tells first one thing, then another.
+# Change sets of other VMs' mirrors in order, and the objects held after them.
 FEEDS = (
     pytest.param(
-        [whole(5, make_object("a")), ChangeSet(7, 7, (make_object("b", 7),), ("a",))],
+        [
+            full_change_set(5, make_object("a")),
+            ChangeSet(7, 7, (make_object("b", 7),), ("a",)),
+        ],
         {"b"},
-        id="change by change",
+        id="single changes",
     ),
     pytest.param(
-        [whole(5, make_object("a"), make_object("b")), whole(9, make_object("b"))],
+        [
+            full_change_set(5, make_object("a"), make_object("b")),
+            full_change_set(9, make_object("b")),
+        ],
         {"b"},
-        id="another source is further",
+        id="other source is ahead",
     ),
     pytest.param(
-        [whole(9, make_object("a"), make_object("c", 8)), whole(5, make_object("a"))],
+        [
+            full_change_set(9, make_object("a"), make_object("c", 8)),
+            full_change_set(5, make_object("a")),
+        ],
         {"a", "c"},
-        id="another source has not heard of a new one",
+        id="other source lacks a new object",
     ),
     pytest.param(
-        [whole(9), whole(5, make_object("a"))],
+        [full_change_set(9), full_change_set(5, make_object("a"))],
         set(),
-        id="another source still holds what is gone",
+        id="other source has a removed object",
     ),
     pytest.param(
         [
-            whole(5, make_object("a")),
+            full_change_set(5, make_object("a")),
             ChangeSet(9, 9, (), ("a",)),
-            whole(12, make_object("a", 11)),
+            full_change_set(12, make_object("a", 11)),
         ],
         {"a"},
-        id="gone and there again",
+        id="removed and created again",
     ),
 )
 
 
-@pytest.mark.parametrize(("changes", "expected"), FEEDS)
-async def test_sources_that_differ_never_take_a_mirror_back(changes, expected):
-    # A VM is fed by one neighbour and then by another that is behind. If it
-    # took its word, it would send to upstreams that have left.
+@pytest.mark.parametrize(("change_sets", "expected"), FEEDS)
+async def test_source_that_is_behind_undoes_nothing(change_sets, expected):
+    # A VM follows one VM and then another that is behind. If it applied the
+    # older state, it would send requests to upstreams that have left.
     mirror, _, held = make_mirror()
-    for change_set in changes:
+    for change_set in change_sets:
         mirror.apply_change_set(change_set)
     assert set(held) == expected
 
 
-async def test_store_that_lags_behind_the_feed_undoes_nothing():
-    # A watch of the VM's own was held up on its way; a neighbour has told
-    # meanwhile that the upstream came and left.
+async def test_watch_response_older_than_the_feed_undoes_nothing():
+    # A watch response is delayed. Meanwhile another VM has reported that the
+    # upstream was added and removed.
     event = WatchEvent(make_object("b", 7), False)
-    mirror, _, held = make_mirror(listed(5), after_s(1, watched(7, event)))
+    mirror, _, held = make_mirror(list_step(5), delayed_step(1, watch_step(7, event)))
     mirror.follow()
     await asyncio.sleep(0.5)
     mirror.apply_change_set(ChangeSet(9, 9, (), ("b",)))
@@ -243,17 +252,17 @@
     await mirror.stop()
 
 
-def listed_old(version, *objects):
+def stale_list_step(version, *objects):
     return "old snapshot", Ok(Snapshot(version, objects))
 
 
-async def test_mirror_that_began_with_an_old_list_reads_it_again():
+async def test_stale_list_is_read_again_before_watching():
     # Hundreds of VMs start at once and read lists that may be seconds old,
-    # which costs the store little. One that then follows the store from what
-    # it was told would never hear what changed in between.
+    # which costs the store little. A VM that watched from the revision of such
+    # a list would never receive the changes in between.
     mirror, store, held = make_mirror(
-        listed_old(9, make_object("a", 5), make_object("gone", 4)),
-        listed(9, make_object("a", 5), make_object("b", 8)),
+        stale_list_step(9, make_object("a", 5), make_object("gone", 4)),
+        list_step(9, make_object("a", 5), make_object("b", 8)),
         begins_old=True,
     )
     assert await mirror.list_once()
@@ -266,12 +275,12 @@
     await mirror.stop()
 
 
-async def test_neighbour_makes_good_what_an_old_list_lacks():
-    # The store says with an old list that all is known up to now. Taken at
-    # its word, a change that the list lacks would be passed over when a
-    # neighbour tells of it.
+async def test_changes_that_a_stale_list_lacks_come_from_another_vm():
+    # The store returns its current revision with a stale list. If the mirror
+    # used that revision, it would ignore a change that the list lacks when
+    # another VM sends it.
     mirror, _, held = make_mirror(
-        listed_old(9, make_object("a", 5), make_object("gone", 4)), begins_old=True
+        stale_list_step(9, make_object("a", 5), make_object("gone", 4)), begins_old=True
     )
     await mirror.list_once()
     assert mirror.revision == 5
@@ -279,63 +288,71 @@
     assert set(held) == {"a", "b"}
 
 
-async def test_old_list_that_comes_late_undoes_nothing():
-    # A neighbour has told all meanwhile.
+async def test_delayed_stale_list_undoes_nothing():
+    # Another VM has sent the full state meanwhile.
     mirror, _, held = make_mirror(
-        after_s(1, listed_old(9, make_object("gone", 4))), begins_old=True
+        delayed_step(1, stale_list_step(9, make_object("gone", 4))), begins_old=True
     )
     reading = asyncio.create_task(mirror.list_once())
     await asyncio.sleep(0.5)
-    mirror.apply_change_set(whole(9, make_object("a", 5)))
+    mirror.apply_change_set(full_change_set(9, make_object("a", 5)))
     assert await reading
     assert set(held) == {"a"}
 
 
-def restored(revision):
-    """Return a version after the store came back from an older copy."""
+def restored_version(revision):
+    """Return a version after the store was restored from an older copy."""
     return make_version(1, revision)
 
 
 @pytest.mark.parametrize(
-    "change",
+    "change_set",
     [
         pytest.param(
-            whole(restored(4), make_object("a", restored(3), b"new")), id="whole"
+            full_change_set(
+                restored_version(4), make_object("a", restored_version(3), b"new")
+            ),
+            id="whole",
         ),
         pytest.param(
-            ChangeSet(restored(4), restored(3), (make_object("a", restored(3)),), ()),
-            id="news",
+            ChangeSet(
+                restored_version(4),
+                restored_version(3),
+                (make_object("a", restored_version(3)),),
+                (),
+            ),
+            id="difference",
         ),
     ],
 )
-async def test_neighbour_tells_that_the_store_was_restored(change_set):
+async def test_restored_store_is_detected_by_another_vms_change_set(change_set):
     mirror, _, held = make_mirror()
     calls = []
     mirror.on_restored.append(lambda: calls.append(mirror.revision))
-    mirror.apply_change_set(whole(9, make_object("a", 9, b"lost")))
+    mirror.apply_change_set(full_change_set(9, make_object("a", 9, b"lost")))
     mirror.apply_change_set(change_set)
     mirror.apply_change_set(change_set)
     assert calls == [9]
     assert held == {"a": change_set.objects[0].value}
-    # Another one has not noticed yet.
-    mirror.apply_change_set(whole(12, make_object("a", 12, b"lost")))
+    # Another VM has not detected it yet.
+    mirror.apply_change_set(full_change_set(12, make_object("a", 12, b"lost")))
     assert held == {"a": change_set.objects[0].value}
-    assert mirror.revision == restored(4)
+    assert mirror.revision == restored_version(4)
 
 
 @pytest.mark.parametrize(
     ("reached", "expected"),
     [
-        pytest.param(restored(20), {"lost"}, id="store has come that far"),
-        pytest.param(restored(5), {"a"}, id="store has not"),
+        pytest.param(restored_version(20), {"lost"}, id="store reached the version"),
+        pytest.param(restored_version(5), {"a"}, id="store did not"),
         pytest.param(None, {"lost"}, id="store does not answer"),
     ],
 )
-async def test_old_list_of_a_history_that_is_lost_is_read_again(reached, expected):
-    # What it tells bears revisions that the store will give out again.
+async def test_stale_list_of_a_lost_history_is_read_again(reached, expected):
+    # Its revisions will be assigned again by the store.
     mirror, _, held = make_mirror(
-        listed_old(restored(9), make_object("lost", restored(9))),
-        listed(restored(5), make_object("a", restored(3))),
+        stale_list_step(restored_version(9), make_object("lost", restored_version(9))),
+        list_step(restored_version(5), make_object("a", restored_version(3))),
         begins_old=True,
     )
     future = asyncio.get_running_loop().create_future()
@@ -346,49 +363,62 @@
     assert set(held) == expected
 
 
-async def test_entry_that_is_gone_is_not_used_again_because_a_copy_holds_it():
-    # An upstream left shortly before the store came back from an older copy.
-    gone = WatchEvent(make_object("gone", 9), True)
+async def test_removed_entry_that_reappears_with_a_copy_is_not_used_at_once():
+    # An upstream left shortly before the store was restored from an old copy.
+    deleted = WatchEvent(make_object("gone", 9), True)
     mirror, _, held = make_mirror(
-        listed(8, make_object("gone", 3), make_object("a", 2)),
-        watched(9, gone),
-        failed("watch", Code.PLATFORM_UNAVAILABLE),
-        listed(restored(4), make_object("gone", restored(3)), make_object("a", 2)),
+        list_step(8, make_object("gone", 3), make_object("a", 2)),
+        watch_step(9, deleted),
+        failed_step("watch", Code.PLATFORM_UNAVAILABLE),
+        list_step(
+            restored_version(4),
+            make_object("gone", restored_version(3)),
+            make_object("a", 2),
+        ),
         guard=LapseGuard(),
     )
     mirror.follow()
     await asyncio.sleep(RETURNED_S - 0.1)
     assert set(held) == {"a"}
-    # The store would have dropped it by now.
+    # The entry would have expired by now if the upstream did not renew it.
     await asyncio.sleep(1.0)
     assert set(held) == {"a", "gone"}
     await mirror.stop()
 
 
-async def test_entry_that_is_written_after_the_store_was_restored_counts_at_once():
+async def test_entry_written_after_a_restoration_is_used_at_once():
     mirror, _, held = make_mirror(guard=LapseGuard())
-    mirror.apply_change_set(whole(8, make_object("back", 3)))
-    mirror.apply_change_set(whole(9))
+    mirror.apply_change_set(full_change_set(8, make_object("back", 3)))
+    mirror.apply_change_set(full_change_set(9))
     assert not held
-    mirror.apply_change_set(whole(restored(4), make_object("back", restored(3))))
+    mirror.apply_change_set(
+        full_change_set(restored_version(4), make_object("back", restored_version(3)))
+    )
     assert not held
-    written = make_object("back", restored(5))
-    mirror.apply_change_set(ChangeSet(restored(5), restored(5), (written,), ()))
+    written = make_object("back", restored_version(5))
+    mirror.apply_change_set(
+        ChangeSet(restored_version(5), restored_version(5), (written,), ())
+    )
     assert set(held) == {"back"}
     await mirror.stop()
 
 
 @pytest.mark.parametrize("expires", [True, False])
-async def test_object_that_a_copy_lacks_stays_until_it_can_be_written_again(expires):
-    # A zone is evacuated; the store comes back at once, from an older copy.
+async def test_object_that_a_copy_lacks_is_kept_until_it_is_written_again(expires):
+    # A zone is evacuated, and then the store is restored from an older copy
+    # without an outage.
     mirror, _, held = make_mirror(
-        listed(8, make_object("zone", 8)),
-        failed("watch", Code.WATCH_EXPIRED),
-        listed(restored(4)),
-        after_s(
-            1, watched(restored(5), WatchEvent(make_object("zone", restored(5)), False))
+        list_step(8, make_object("zone", 8)),
+        failed_step("watch", Code.WATCH_EXPIRED),
+        list_step(restored_version(4)),
+        delayed_step(
+            1,
+            watch_step(
+                restored_version(5),
+                WatchEvent(make_object("zone", restored_version(5)), False),
+            ),
         ),
-        after_s(5, watched(restored(5))),
+        delayed_step(5, watch_step(restored_version(5))),
         guard=LapseGuard(expires),
     )
     missing = []
@@ -404,39 +434,48 @@
 
 async def test_object_is_not_confirmed_until_the_restored_store_has_it():
     mirror, _, _ = make_mirror(guard=LapseGuard(expires=False))
-    mirror.apply_change_set(whole(8, make_object("own", 8)))
+    mirror.apply_change_set(full_change_set(8, make_object("own", 8)))
     assert mirror.get_confirmed("own")
-    other = make_object("other", restored(3))
-    mirror.apply_change_set(ChangeSet(restored(4), restored(3), (other,), ()))
+    other = make_object("other", restored_version(3))
+    mirror.apply_change_set(
+        ChangeSet(restored_version(4), restored_version(3), (other,), ())
+    )
     assert not mirror.get_confirmed("own")
     await mirror.stop()
 
 
-async def test_first_list_of_a_store_that_was_restored_once_is_no_restoration():
-    # The list that is read at the start is empty, and tells no version.
+async def test_first_list_of_a_restored_store_is_not_a_restoration():
+    # The list that is read at the start is empty, so it holds no version.
     mirror, _, _ = make_mirror(
-        listed_old(restored(4)), listed(restored(5)), begins_old=True
+        stale_list_step(restored_version(4)),
+        list_step(restored_version(5)),
+        begins_old=True,
     )
     calls = []
     mirror.on_restored.append(lambda: calls.append(mirror.revision))
     await mirror.list_once()
     mirror.follow()
     await asyncio.sleep(0.1)
-    assert mirror.revision == restored(5)
+    assert mirror.revision == restored_version(5)
     assert not calls
 
 
-async def test_followers_are_told_each_change_once():
+async def test_each_change_is_passed_on_once():
     event = WatchEvent(make_object("b", 9), False)
-    gone = WatchEvent(make_object("a", 11), True)
+    deleted = WatchEvent(make_object("a", 11), True)
     mirror, _, _ = make_mirror(
-        listed(5, make_object("a")), watched(9, event), watched(10), watched(11, gone)
+        list_step(5, make_object("a")),
+        watch_step(9, event),
+        watch_step(10),
+        watch_step(11, deleted),
     )
-    told = []
-    mirror.on_change.append(lambda _, change_set: told.append(change_set))
+    passed_on = []
+    mirror.on_change.append(lambda _, change_set: passed_on.append(change_set))
     mirror.follow()
     await asyncio.sleep(3)
-    assert [(c.revision, [o.name for o in c.objects], c.removed) for c in told] == [
+    assert [
+        (c.revision, [o.name for o in c.objects], c.removed) for c in passed_on
+    ] == [
         (5, ["a"], ()),
         (9, ["b"], ()),
         (11, [], ("a",)),
@@ -445,12 +484,12 @@
     await mirror.stop()
 
 
-async def test_object_that_comes_and_goes_in_one_batch_is_gone():
-    came = WatchEvent(make_object("b", 8), False)
-    gone = WatchEvent(make_object("b", 9), True)
-    held, _ = await follow(3, listed(5), watched(9, came, gone))
+async def test_last_event_of_an_object_in_a_batch_wins():
+    created = WatchEvent(make_object("b", 8), False)
+    deleted = WatchEvent(make_object("b", 9), True)
+    held, _ = await follow(3, list_step(5), watch_step(9, created, deleted))
     assert held == {}
     held, _ = await follow(
-        3, listed(5, make_object("b", 4)), watched(9, gone, came._replace())
+        3, list_step(5, make_object("b", 4)), watch_step(9, deleted, created._replace())
     )
     assert held == {"b": b"v"}
--- a/godwitlanding/tests/gateway/test_mirror_states.py
+++ b/godwitlanding/tests/gateway/test_mirror_states.py
@@ -1,8 +1,8 @@
-"""Mirrors under drawn histories of a store that is restored now and then.
+"""Mirrors under random histories of a store that is restored at times.
 
-A mirror follows the store, another one is fed by it, as VMs are. However the
-store's changes, cut watches and restorations follow each other: once nothing
-happens any more, both hold what the store holds.
+A mirror follows the store, and another mirror follows the first one, as VMs
+do. Whatever the order of changes, interrupted watches, outages and
+restorations: once nothing happens any more, both hold what the store holds.
 """
 
 import asyncio
@@ -29,13 +29,13 @@
 KIND = "things"
 NAMES = "abcde"
 STEPS = 40
-# The longest time for which a mirror may not have noticed.
+# The longest time that a mirror may take to detect the last event.
 SETTLE_S = WATCH_TIMEOUT_S + MAX_BACKOFF_S + RETURNED_S + 1.0
-LOOK_S = 0.05
+POLL_S = 0.05
 
 
 class ModelStore:
-    """A store in memory with eras, as its client shows it."""
+    """An in-memory store with eras, as its client presents it."""
 
     def __init__(self):
         self.era = 0
@@ -44,13 +44,13 @@
         self.value_by_name = {}
         self._events = []
         self._copy = self.take_copy()
-        self._cuts = 0
-        self.is_away = False
+        self._interruptions = 0
+        self.is_unreachable = False
 
     def take_copy(self):
         return self.revision, dict(self.version_by_name), dict(self.value_by_name)
 
-    def keep_copy(self):
+    def save_copy(self):
         self._copy = self.take_copy()
 
     def restore(self):
@@ -60,13 +60,13 @@
         self.version_by_name = {n: self._raise(v) for n, v in versions.items()}
         self.value_by_name = dict(values)
         self._events = []
-        self._cuts += 1
+        self._interruptions += 1
 
     def _raise(self, version):
         return make_version(self.era, get_revision(version))
 
-    def cut(self):
-        self._cuts += 1
+    def interrupt_watches(self):
+        self._interruptions += 1
 
     def put(self, name, value):
         self.revision += 1
@@ -88,7 +88,7 @@
 
     async def snapshot(self, kind, allow_stale=False):
         await asyncio.sleep(0.01)
-        if self.is_away:
+        if self.is_unreachable:
             return Err(make_refusal(Code.PLATFORM_UNAVAILABLE))
         objects = tuple(
             StoredObject(KIND, name, self.version_by_name[name], value)
@@ -97,10 +97,10 @@
         return Ok(Snapshot(make_version(self.era, self.revision), objects))
 
     async def watch(self, kind, after, timeout_s):
-        cuts = self._cuts
+        interruptions = self._interruptions
         ends_at = asyncio.get_running_loop().time() + timeout_s
         while True:
-            if self.is_away or cuts != self._cuts:
+            if self.is_unreachable or interruptions != self._interruptions:
                 return Err(make_refusal(Code.PLATFORM_UNAVAILABLE))
             if get_era(after) != self.era or get_revision(after) > self.revision:
                 return Err(make_refusal(Code.WATCH_EXPIRED))
@@ -108,7 +108,7 @@
             if events or asyncio.get_running_loop().time() >= ends_at:
                 version = make_version(self.era, self.revision)
                 return Ok(WatchBatch(version, events))
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
 
 
 def make_mirror(store, guard):
@@ -123,8 +123,8 @@
     return Mirror(store, KIND, apply, guard), held
 
 
-async def play(rng, store):
-    """Let a drawn history happen."""
+async def run_history(rng, store):
+    """Run a random history."""
     for number in range(STEPS):
         action = rng.choice(("put", "put", "remove", "copy", "restore", "cut", "away"))
         name = rng.choice(NAMES)
@@ -133,26 +133,26 @@
         elif action == "remove":
             store.remove(name)
         elif action == "copy":
-            store.keep_copy()
+            store.save_copy()
         elif action == "restore":
             store.restore()
         elif action == "cut":
-            store.cut()
+            store.interrupt_watches()
         else:
-            store.is_away = not store.is_away
+            store.is_unreachable = not store.is_unreachable
         await asyncio.sleep(rng.choice((0.0, 0.02, 0.3, 1.5)))
-    store.is_away = False
+    store.is_unreachable = False
 
 
 @pytest.mark.parametrize("expires", [True, False])
 @pytest.mark.parametrize("seed", range(40))
-async def test_mirrors_come_to_hold_what_the_store_holds(seed, expires):
+async def test_mirrors_converge_to_the_store(seed, expires):
     store = ModelStore()
     reading, held = make_mirror(store, LapseGuard(expires))
     fed, fed_held = make_mirror(None, LapseGuard(expires))
     reading.on_change.append(lambda _, change_set: fed.apply_change_set(change_set))
     reading.follow()
-    await play(random.Random(seed), store)
+    await run_history(random.Random(seed), store)
     await asyncio.sleep(SETTLE_S)
     assert held == store.value_by_name
     assert fed_held == store.value_by_name
--- a/godwitlanding/tests/gateway/test_peers.py
+++ b/godwitlanding/tests/gateway/test_peers.py
@@ -1,4 +1,4 @@
-"""Who is told what, and how often."""
+"""Recipients, contents and frequency of gossip messages."""
 
 import asyncio
 from collections import Counter
@@ -35,7 +35,7 @@
 
 
 class RecordingTransport:
-    """Keeps the datagrams that are sent."""
+    """Records the messages that are sent."""
 
     def __init__(self):
         self.sent = []
@@ -50,8 +50,8 @@
         return Counter(host for host, _ in self.sent)
 
 
-class Setting:
-    """The peers of one VM, with a wire that goes nowhere."""
+class PeersHarness:
+    """The ``Peers`` service of one VM, with a recording transport."""
 
     def __init__(self, monkeypatch, vm="own"):
         identity = SimpleNamespace(
@@ -99,19 +99,19 @@
     async def __aexit__(self, *error):
         await self.peers.stop()
 
-    def hear(self, vm, host, **changes):
+    def receive(self, vm, host, **changes):
         message = make_gossip_message(vm, region="a", **changes)
-        self.peers.hear(encode_message(message), host)
+        self.peers.receive_datagram(encode_message(message), host)
 
     def list_region(self, count):
-        """The store lists VMs of the own region."""
+        """Add VMs of this region to the store's list."""
         for number in range(count):
             self.peers.note_vm(f"vm-{number}", f"10.0.2.{number}", "a1")
 
     def receive_from_strong(self, count, **changes):
-        """Hear of VMs that are so strong that this one carries nothing."""
+        """Receive from VMs so strong that this one carries no requests."""
         for number in range(count):
-            self.hear(f"strong-{number}", f"10.0.1.{number}", **STRONG, **changes)
+            self.receive(f"strong-{number}", f"10.0.1.{number}", **STRONG, **changes)
 
     async def count_sent(self, seconds):
         self.transport.sent.clear()
@@ -119,8 +119,8 @@
         return self.transport.count_by_host()
 
 
-async def test_idle_vm_says_little(monkeypatch):
-    async with Setting(monkeypatch) as harness:
+async def test_idle_vm_sends_few_messages(monkeypatch):
+    async with PeersHarness(monkeypatch) as harness:
         for number in range(2, 5):
             harness.peers.note_vm(f"vm-{number}", f"10.0.0.{number}", "a1")
         sent = await harness.count_sent(2.0)
@@ -128,10 +128,10 @@
         assert max(sent.values()) <= 5
 
 
-async def test_vm_that_carries_nothing_tells_those_that_do(monkeypatch):
-    # Sixty VMs of a region without a request told each other all the time,
-    # which was nearly all that they did.
-    async with Setting(monkeypatch) as harness:
+async def test_idle_vm_sends_to_carriers_only(monkeypatch):
+    # Sixty idle VMs of a region sent messages to each other all the time,
+    # which was nearly all their work.
+    async with PeersHarness(monkeypatch) as harness:
         harness.list_region(60)
         for sequence in range(1, 6):
             harness.receive_from_strong(3, sequence=sequence)
@@ -140,11 +140,11 @@
         assert 1 <= sum(sent.values()) <= 3
 
 
-async def test_strays_are_told_to_nobody(monkeypatch):
-    # Each VM is asked now and then which routes it knows, and some callers
-    # keep their connections. Each of sixty that carry nothing else would tell
-    # the others of it thirty times a second.
-    async with Setting(monkeypatch) as harness:
+async def test_stray_requests_are_not_reported(monkeypatch):
+    # Any VM gets a request now and then: a query for its routes, or requests
+    # on a connection that a caller keeps open. If these counted as load, each
+    # of sixty idle VMs would send to the others thirty times a second.
+    async with PeersHarness(monkeypatch) as harness:
         harness.list_region(60)
         for sequence in range(1, 6):
             harness.receive_from_strong(3, sequence=sequence)
@@ -152,13 +152,13 @@
             harness.occupancy.begin("u")
             sent = await harness.count_sent(1.0)
         assert sum(sent.values()) <= 3
-        assert not any(told.count_by_number for _, told in harness.transport.sent)
+        assert not any(message.count_by_number for _, message in harness.transport.sent)
 
 
-async def test_vm_carries_when_those_that_did_are_lost(monkeypatch):
-    # The strong VMs of a region lose their power at once. The others have
-    # hardly heard of each other, and each is asked by callers where to go.
-    async with Setting(monkeypatch) as harness:
+async def test_vm_becomes_active_when_the_carriers_are_lost(monkeypatch):
+    # The strong VMs of a region lose power at once. The others have received
+    # few messages of each other, and callers ask each of them for addresses.
+    async with PeersHarness(monkeypatch) as harness:
         harness.peers.note_vm("vm-2", "10.0.0.2", "a1")
         for sequence in range(1, 4):
             harness.receive_from_strong(3, sequence=sequence)
@@ -170,34 +170,35 @@
         assert harness.transport.sent[-1][1].active
 
 
-async def test_vm_says_to_all_that_it_carries_no_longer(monkeypatch):
-    # Those that heard it twice a second would take it for dead.
-    async with Setting(monkeypatch) as harness:
+async def test_vm_announces_to_all_that_it_is_no_longer_active(monkeypatch):
+    # VMs that received its heartbeats twice a second would consider it dead.
+    async with PeersHarness(monkeypatch) as harness:
         harness.peers.note_vm("vm-2", "10.0.0.2", "a1")
         await asyncio.sleep(1.0)
         for sequence in range(1, 4):
             harness.receive_from_strong(3, sequence=sequence)
             await asyncio.sleep(0.4)
-        told = [b for host, b in harness.transport.sent if host == "10.0.0.2"]
-        assert told[0].active
-        assert not told[-1].active
+        messages = [m for host, m in harness.transport.sent if host == "10.0.0.2"]
+        assert messages[0].active
+        assert not messages[-1].active
 
 
-async def test_busy_vms_hear_of_each_other_often(monkeypatch):
-    # Two VMs send to the same upstreams. If they heard of each other only
-    # twice a second, both would fill an upstream that they believe is idle.
-    async with Setting(monkeypatch) as harness:
-        harness.hear("vm-2", "10.0.0.2", rate_by_service={"s": 20.0})
+async def test_busy_vms_exchange_messages_often(monkeypatch):
+    # Two VMs send requests to the same upstreams. If they exchanged their
+    # counts only twice a second, both would fill an upstream that is idle by
+    # their outdated counts.
+    async with PeersHarness(monkeypatch) as harness:
+        harness.receive("vm-2", "10.0.0.2", rate_by_service={"s": 20.0})
         harness.occupancy.begin("u")
         sent = await harness.count_sent(1.0)
         assert sent["10.0.0.2"] >= 30
 
 
-async def test_last_request_is_taken_back(monkeypatch):
-    # A VM has nothing in progress any more and falls silent. Its peers would
-    # count its last requests until they take it for dead.
-    async with Setting(monkeypatch) as harness:
-        harness.hear("vm-2", "10.0.0.2", rate_by_service={"s": 20.0})
+async def test_end_of_the_last_request_is_sent(monkeypatch):
+    # A VM has nothing in progress any more and sends no more counts. Its peers
+    # would count its last requests until they consider it dead.
+    async with PeersHarness(monkeypatch) as harness:
+        harness.receive("vm-2", "10.0.0.2", rate_by_service={"s": 20.0})
         harness.occupancy.begin("u")
         await asyncio.sleep(0.2)
         harness.occupancy.end("u")
@@ -205,22 +206,22 @@
         assert harness.transport.sent[0][1].count_by_number == {}
 
 
-async def test_other_region_is_told_by_a_digest(monkeypatch):
-    async with Setting(monkeypatch) as harness:
+async def test_digest_is_sent_to_another_region(monkeypatch):
+    async with PeersHarness(monkeypatch) as harness:
         harness.peers.note_vm("far", "10.0.9.1", "b1")
-        harness.hear("vm-2", "10.0.0.2", rate_by_service={"s": 20.0})
+        harness.receive("vm-2", "10.0.0.2", rate_by_service={"s": 20.0})
         await harness.count_sent(1.2)
-        told = [
+        messages = [
             message for host, message in harness.transport.sent if host == "10.0.9.1"
         ]
-        assert 2 <= len(told) <= 4
-        assert told[-1].digests[0].rate_by_service == {"s": 20.0}
-        assert told[-1].digests[0].vms == 2
+        assert 2 <= len(messages) <= 4
+        assert messages[-1].digests[0].rate_by_service == {"s": 20.0}
+        assert messages[-1].digests[0].vms == 2
 
 
-def test_one_more_is_another_one():
-    # Now and then one more VM of a region is told, as the one that is told
-    # each time may be lost. Chance may not pick that one again.
+def test_extra_remote_target_differs_from_the_sender():
+    # Now and then one more VM of a region is sent a digest, as the usual
+    # target may be lost. The random choice must not pick the usual one again.
     targets = RemoteTargets(Digests("a"))
     targets.note_sender("b", "h0")
     numbers = []
@@ -231,11 +232,11 @@
     assert numbers.count(2) == len(numbers) // SPREAD_EVERY
 
 
-async def test_few_pass_a_digest_on(monkeypatch):
-    # Whoever gets a digest from outside passes it on to all its neighbours.
-    # Sent to others each time, it is passed on by all of them, and most of
-    # what an idle VM reads is the same digest again.
-    async with Setting(monkeypatch) as harness:
+async def test_digest_is_sent_to_few_vms_of_a_region(monkeypatch):
+    # A VM that receives a digest from another region forwards it to its whole
+    # region. If the targets changed each time, all of them would forward it,
+    # and most of what an idle VM reads would be copies of the same digest.
+    async with PeersHarness(monkeypatch) as harness:
         for number in range(9):
             harness.peers.note_vm(f"far-{number}", f"10.0.9.{number}", "b1")
         digest = Digest(
@@ -245,7 +246,7 @@
             far = make_gossip_message(
                 "far-3", region="b", sequence=sequence, digests=(digest,)
             )
-            harness.peers.hear(encode_message(far), "10.0.9.3")
+            harness.peers.receive_datagram(encode_message(far), "10.0.9.3")
             await asyncio.sleep(0.5)
         sent = harness.transport.count_by_host()
         others = {host for host in sent if host.startswith("10.0.9.")} - {"10.0.9.3"}
@@ -253,12 +254,12 @@
         assert 1 <= len(others) <= 3
 
 
-async def test_sharers_of_an_upstream_elsewhere_are_told(monkeypatch):
-    # A region sends away what it has no room for. The VMs there share the
-    # upstreams with it, and would take them for idle.
-    async with Setting(monkeypatch) as harness:
+async def test_vms_that_share_a_remote_upstream_receive_counts(monkeypatch):
+    # A region without free slots sends requests to another region. The VMs
+    # there share those upstreams and would consider them idle.
+    async with PeersHarness(monkeypatch) as harness:
         digest = Digest("b", 1, ("10.0.9.1:80",), {}, (), "", ())
-        harness.hear("vm-2", "10.0.0.2", digests=(digest,))
+        harness.receive("vm-2", "10.0.0.2", digests=(digest,))
         harness.registry.put_upstream(
             Upstream("u", "s", ("10.0.9.7", 1), "b1", 3, False, 0.0)
         )
@@ -267,12 +268,12 @@
         assert sent["10.0.9.1"] >= 5
 
 
-async def test_digest_from_outside_reaches_the_neighbours(monkeypatch):
-    async with Setting(monkeypatch) as harness:
+async def test_digest_of_another_region_is_forwarded(monkeypatch):
+    async with PeersHarness(monkeypatch) as harness:
         digest = Digest("b", 4, (), {"s": 9.0}, (), "", ())
-        harness.hear("vm-2", "10.0.0.2")
+        harness.receive("vm-2", "10.0.0.2")
         message = make_gossip_message("far", region="b", digests=(digest,))
-        harness.peers.hear(encode_message(message), "10.0.9.1")
+        harness.peers.receive_datagram(encode_message(message), "10.0.9.1")
         assert harness.peers.get_arrival_rates("s") == {"a": 0.0, "b": 9.0}
         await harness.count_sent(0.5)
         assert any(
@@ -280,51 +281,50 @@
         )
 
 
-async def test_crash_is_told_at_once_everywhere(monkeypatch):
-    # A request crashes the upstream that runs it and is sent again by its
-    # caller, to any VM. The sooner they know, the fewer upstreams it takes.
-    async with Setting(monkeypatch) as harness:
+async def test_crash_is_sent_to_all_regions_at_once(monkeypatch):
+    # A request crashes the upstream that runs it, and its caller retries it at
+    # any VM. The sooner the VMs know, the fewer upstreams it crashes.
+    async with PeersHarness(monkeypatch) as harness:
         harness.peers.note_vm("far", "10.0.9.1", "b1")
-        harness.hear("vm-2", "10.0.0.2")
+        harness.receive("vm-2", "10.0.0.2")
         harness.transport.sent.clear()
         crash = Crash(7, "u")
         harness.peers.note_crash(crash)
         assert {host for host, _ in harness.transport.sent} == {"10.0.0.2", "10.0.9.1"}
-        heard = make_gossip_message("far", region="b", crashes=(Crash(8, "v"),))
-        harness.peers.hear(encode_message(heard), "10.0.9.1")
+        message = make_gossip_message("far", region="b", crashes=(Crash(8, "v"),))
+        harness.peers.receive_datagram(encode_message(message), "10.0.9.1")
         assert harness.crashes == [Crash(8, "v")]
 
 
-async def test_new_vm_is_answered_at_once(monkeypatch):
-    # A VM has just started and knows nobody. It cannot serve well before it
-    # knows its peers.
-    async with Setting(monkeypatch) as harness:
+async def test_new_vm_is_sent_a_message_at_once(monkeypatch):
+    # A VM that has just started cannot serve well before it knows its peers.
+    async with PeersHarness(monkeypatch) as harness:
         harness.transport.sent.clear()
-        harness.hear("vm-2", "10.0.0.2")
+        harness.receive("vm-2", "10.0.0.2")
         assert [host for host, _ in harness.transport.sent] == ["10.0.0.2"]
-        harness.hear("vm-2", "10.0.0.2", sequence=2)
+        harness.receive("vm-2", "10.0.0.2", sequence=2)
         assert len(harness.transport.sent) == 1
-        harness.hear("vm-2", "10.0.0.2", incarnation=2)
+        harness.receive("vm-2", "10.0.0.2", incarnation=2)
         assert len(harness.transport.sent) == 2
 
 
-async def test_leaving_is_told_at_once(monkeypatch):
-    async with Setting(monkeypatch) as harness:
-        harness.hear("vm-2", "10.0.0.2")
+async def test_leaving_is_announced_at_once(monkeypatch):
+    async with PeersHarness(monkeypatch) as harness:
+        harness.receive("vm-2", "10.0.0.2")
         harness.transport.sent.clear()
         harness.peers.leave()
         assert all(message.leaving for _, message in harness.transport.sent)
         assert harness.transport.sent
 
 
-async def test_vms_are_counted_by_the_store_and_by_hearing(monkeypatch):
-    # Shares of what all VMs may repeat together must not grow because some
-    # of them cannot be heard.
-    async with Setting(monkeypatch) as harness:
+async def test_listed_and_reachable_vms_are_counted(monkeypatch):
+    # A VM's share of the retry budget must not grow because other VMs are
+    # unreachable.
+    async with PeersHarness(monkeypatch) as harness:
         harness.peers.note_vm("vm-2", "10.0.0.2", "a1")
         harness.peers.note_vm("far", "10.0.9.1", "b1")
-        harness.hear("vm-2", "10.0.0.2")
-        harness.hear("vm-3", "10.0.0.3")
+        harness.receive("vm-2", "10.0.0.2")
+        harness.receive("vm-3", "10.0.0.3")
         assert harness.peers.count_vms() == 4
         harness.peers.note_vm("far", None, "")
         assert harness.peers.count_vms() == 3
@@ -333,67 +333,70 @@
 CACHE_ENTRY = CacheEntry(7, 9)
 
 
-async def test_peers_are_told_who_got_an_object(monkeypatch):
+async def test_cache_entry_is_sent_to_peers(monkeypatch):
     # Another VM gets a request for the same object a moment later. Unless it
-    # knows where the first one went, a second upstream learns the object. Any
-    # datagram may be lost, so it is told more than once, and not for ever.
-    async with Setting(monkeypatch) as harness:
-        harness.hear("vm-2", "10.0.0.2", rate_by_service={"s": 20.0})
+    # knows where the first one went, a second upstream loads the object. Any
+    # datagram may be lost, so the entry is repeated for a limited time.
+    async with PeersHarness(monkeypatch) as harness:
+        harness.receive("vm-2", "10.0.0.2", rate_by_service={"s": 20.0})
         harness.occupancy.begin("u")
         harness.peers.note_cache_entry(CACHE_ENTRY)
         await harness.count_sent(0.1)
-        assert sum(CACHE_ENTRY in told.met for _, told in harness.transport.sent) >= 2
+        assert (
+            sum(CACHE_ENTRY in message.met for _, message in harness.transport.sent)
+            >= 2
+        )
         await asyncio.sleep(REPEAT_S)
         await harness.count_sent(0.2)
-        assert not any(told.met for _, told in harness.transport.sent)
+        assert not any(message.met for _, message in harness.transport.sent)
 
 
-async def test_other_regions_are_told_who_got_an_object(monkeypatch):
-    # Callers move to another region and ask for the same objects there.
-    async with Setting(monkeypatch) as harness:
+async def test_cache_entry_is_sent_to_other_regions(monkeypatch):
+    # Callers move to another region and request the same objects there.
+    async with PeersHarness(monkeypatch) as harness:
         harness.peers.note_vm("far", "10.0.9.1", "b1")
-        harness.hear("vm-2", "10.0.0.2", met=(CACHE_ENTRY,))
+        harness.receive("vm-2", "10.0.0.2", met=(CACHE_ENTRY,))
         await harness.count_sent(1.2)
-        told = [
+        messages = [
             message for host, message in harness.transport.sent if host == "10.0.9.1"
         ]
-        assert all(CACHE_ENTRY in message.digests[0].met for message in told)
+        assert all(CACHE_ENTRY in message.digests[0].met for message in messages)
 
 
-async def test_word_of_another_region_is_taken(monkeypatch):
-    async with Setting(monkeypatch) as harness:
+async def test_cache_entry_of_another_region_is_stored(monkeypatch):
+    async with PeersHarness(monkeypatch) as harness:
         digest = make_digest("b", [make_peer("far")], (), (CACHE_ENTRY,))
         message = make_gossip_message("far", region="b", digests=(digest,))
-        harness.peers.hear(encode_message(message), "10.0.9.1")
+        harness.peers.receive_datagram(encode_message(message), "10.0.9.1")
         assert harness.object_map.get_depth(*CACHE_ENTRY) == 0
 
 
-async def test_vm_that_starts_is_told_all_that_is_known(monkeypatch):
-    # A VM that was killed is back and knows no object. It would have each one
-    # learnt anew wherever chance sends it.
-    async with Setting(monkeypatch) as harness:
-        meetings = {CacheEntry(number, 9) for number in range(300)}
-        for cache_entry in meetings:
+async def test_new_vm_is_sent_all_cache_entries(monkeypatch):
+    # A VM was killed and has restarted without cache entries. It would send
+    # requests to random upstreams, each of which loads the object again.
+    async with PeersHarness(monkeypatch) as harness:
+        cache_entries = {CacheEntry(number, 9) for number in range(300)}
+        for cache_entry in cache_entries:
             harness.peers.note_cache_entry(cache_entry)
         await asyncio.sleep(REPEAT_S + 0.1)
         harness.transport.sent.clear()
-        harness.hear("vm-2", "10.0.0.2", incarnation=5)
-        assert set(harness.transport.sent[0][1].met) == meetings
+        harness.receive("vm-2", "10.0.0.2", incarnation=5)
+        assert set(harness.transport.sent[0][1].met) == cache_entries
 
 
-async def test_vm_that_starts_is_told_all_by_two(monkeypatch):
-    # Twenty VMs that each told all of it would fill the link of a weak one
-    # just when it starts.
+async def test_new_vm_is_sent_all_cache_entries_by_representatives_only(monkeypatch):
+    # Twenty VMs that each sent all entries would saturate a slow link of the
+    # new VM just when it starts.
     names = [f"vm-{number}" for number in range(8)]
     greeted = 0
     for name in names:
-        async with Setting(monkeypatch, vm=name) as harness:
+        async with PeersHarness(monkeypatch, vm=name) as harness:
             for other in names:
                 if other != name:
-                    harness.hear(other, f"10.0.1.{other[3:]}")
+                    harness.receive(other, f"10.0.1.{other[3:]}")
             harness.peers.note_cache_entry(CACHE_ENTRY)
             await asyncio.sleep(REPEAT_S + 0.1)
             harness.transport.sent.clear()
-            harness.hear("new", "10.0.0.2")
+            harness.receive("new", "10.0.0.2")
             greeted += bool(harness.transport.sent[0][1].met)
     assert greeted <= REPRESENTATIVES
--- a/godwitlanding/tests/gateway/test_savedobjectmap.py
+++ b/godwitlanding/tests/gateway/test_savedobjectmap.py
@@ -1,4 +1,4 @@
-"""What upstreams know outlives the VMs."""
+"""Cache entries of upstreams are saved and survive a restart of all VMs."""
 
 import asyncio
 from types import SimpleNamespace
@@ -23,7 +23,10 @@
 
 
 class FakeStore:
-    """Holds the objects; ``code`` fails each call, ``lost`` the next write."""
+    """An in-memory store.
+
+    ``code`` fails each call; ``lost`` loses the response of the next write.
+    """
 
     def __init__(self):
         self.value_by_name = {}
@@ -62,7 +65,7 @@
 
 
 class Vm:
-    """The saved map of one VM with its registry."""
+    """The saved object map of one VM, with its registry."""
 
     def __init__(self, store, first=True):
         self.object_map = ObjectMap()
@@ -71,8 +74,8 @@
             self.registry.put_upstream(
                 Upstream(name, "s", ("127.0.0.1", 1), zone, 3, False, 0.0)
             )
-        self.near = self.registry.number_by_id["u"]
-        self.far = self.registry.number_by_id["v"]
+        self.local_upstream = self.registry.number_by_id["u"]
+        self.remote_upstream = self.registry.number_by_id["v"]
         self.saved = SavedObjectMap(store, KIND, "a", self.object_map)
         self._first = first
 
@@ -86,65 +89,66 @@
     async def __aexit__(self, *error):
         await self.saved.stop()
 
-    def learn(self, *keys):
+    def add_cache_entries(self, *keys):
         for key in keys:
-            self.object_map.hear(CacheEntry(self.near, key), 0.0)
-        self.object_map.hear(CacheEntry(self.far, 99), 0.0)
+            self.object_map.hear(CacheEntry(self.local_upstream, key), 0.0)
+        self.object_map.hear(CacheEntry(self.remote_upstream, 99), 0.0)
 
 
-async def test_vm_that_starts_after_a_power_cut_knows_who_knows():
-    # All VMs lose power at once. Upstreams still know their objects; learnt
-    # anew elsewhere, each one's first answer after the outage is late.
+async def test_vm_reads_saved_cache_entries_after_a_power_cut():
+    # All VMs lose power at once. Upstreams still have their objects cached; if
+    # other upstreams load them again, each object's first response is late.
     store = FakeStore()
     async with Vm(store) as vm:
-        vm.learn(1, 2, 3)
+        vm.add_cache_entries(1, 2, 3)
         await asyncio.sleep(SAVE_INTERVAL_S + 0.1)
     async with Vm(store, first=False) as vm:
-        assert vm.object_map.count_known(vm.near) == 3
-        # Those of the other region are its own VMs' to save.
-        assert vm.object_map.count_known(vm.far) == 0
+        assert vm.object_map.count_known(vm.local_upstream) == 3
+        # The entries of the other region are saved by its own VMs.
+        assert vm.object_map.count_known(vm.remote_upstream) == 0
 
 
-async def test_nothing_is_written_while_nothing_is_learnt():
+async def test_unchanged_entries_are_not_written_again():
     store = FakeStore()
     async with Vm(store) as vm:
-        vm.learn(1)
+        vm.add_cache_entries(1)
         await asyncio.sleep(5 * SAVE_INTERVAL_S + 0.1)
     assert store.writes == 1
 
 
-async def test_only_one_vm_of_a_region_writes():
+async def test_only_the_first_representative_writes():
     store = FakeStore()
     async with Vm(store, first=False) as vm:
-        vm.learn(1)
+        vm.add_cache_entries(1)
         await asyncio.sleep(3 * SAVE_INTERVAL_S)
     assert store.writes == 0
 
 
-@pytest.mark.parametrize("case", ["other wrote", "answer lost", "store away"])
-async def test_write_that_failed_is_made_good(case):
-    # Another VM wrote in between, the answer was lost, or the store was away.
-    # A writer that held on to its version would never write again.
+@pytest.mark.parametrize("case", ["conflict", "response lost", "store unreachable"])
+async def test_failed_write_is_repeated(case):
+    # Another VM has written in between, the response was lost, or the store
+    # was unreachable. A writer that kept its expected version would never
+    # succeed again.
     store = FakeStore()
     async with Vm(store) as vm:
-        vm.learn(1)
+        vm.add_cache_entries(1)
         await asyncio.sleep(SAVE_INTERVAL_S + 0.1)
-        if case == "other wrote":
+        if case == "conflict":
             store.version_by_name["a"] = 77
-        store.lost = case == "answer lost"
-        store.code = Code.PLATFORM_UNAVAILABLE if case == "store away" else None
-        vm.learn(2)
+        store.lost = case == "response lost"
+        store.code = Code.PLATFORM_UNAVAILABLE if case == "store unreachable" else None
+        vm.add_cache_entries(2)
         await asyncio.sleep(SAVE_INTERVAL_S)
         store.code = None
         await asyncio.sleep(SAVE_INTERVAL_S)
     assert len(decode_cache_entries(store.value_by_name["a"])) == 2
 
 
-async def test_map_that_the_store_has_lost_is_saved_again():
-    # Nothing new is learnt, so nothing else would have it written.
+async def test_entries_that_the_store_has_lost_are_saved_again():
+    # The entries have not changed, so nothing else would cause a write.
     store = FakeStore()
     async with Vm(store) as vm:
-        vm.learn(1)
+        vm.add_cache_entries(1)
         await asyncio.sleep(SAVE_INTERVAL_S + 0.1)
         store.value_by_name.clear()
         store.version_by_name.clear()
@@ -156,18 +160,18 @@
 @pytest.mark.parametrize(
     "value", [b"", b"7", b"{}", b'{"met":7}', b'{"met":"?"}', b'{"met":"AAAA"}']
 )
-async def test_foreign_object_is_passed_over(value):
+async def test_invalid_object_is_ignored(value):
     store = FakeStore()
     store.value_by_name["b"] = value
     store.version_by_name["b"] = 1
     with pytest.raises((ValueError, KeyError, TypeError)):
         decode_cache_entries(value)
     async with Vm(store) as vm:
-        vm.learn(1)
+        vm.add_cache_entries(1)
         await asyncio.sleep(SAVE_INTERVAL_S + 0.1)
     assert "a" in store.value_by_name
 
 
-def test_meetings_come_back_as_they_were():
-    meetings = [CacheEntry(2**32 - 1, 0), CacheEntry(5, 7)]
-    assert decode_cache_entries(encode_cache_entries(meetings)) == meetings
+def test_cache_entries_round_trip():
+    cache_entries = [CacheEntry(2**32 - 1, 0), CacheEntry(5, 7)]
+    assert decode_cache_entries(encode_cache_entries(cache_entries)) == cache_entries
--- a/godwitlanding/tests/gateway/test_sourceselector.py
+++ b/godwitlanding/tests/gateway/test_sourceselector.py
@@ -1,4 +1,4 @@
-"""When a VM reads the store itself, and whom it follows else."""
+"""When a VM reads the store itself, and which VM it follows otherwise."""
 
 import asyncio
 from types import SimpleNamespace
@@ -19,7 +19,7 @@
 
 
 class StandinMirror:
-    """A mirror that answers as the test says."""
+    """A mirror whose store answers if ``answers`` is set."""
 
     def __init__(self, kind):
         self.kind = kind
@@ -58,11 +58,11 @@
 
 
 class StandinFeed:
-    """Keeps whom it was told to follow."""
+    """A feed that only keeps its source."""
 
     def __init__(self):
         self.source = ""
-        self.reads = None
+        self.is_reading = None
         self.source_reads = False
 
     def follow(self, host):
@@ -73,7 +73,7 @@
 
 
 class SelectorHarness:
-    """The reader of one VM of four, and what its neighbours say."""
+    """The source selector of one of four VMs, with its peers' states."""
 
     def __init__(self, vm):
         identity = SimpleNamespace(
@@ -83,7 +83,7 @@
         self.digests = Digests("r")
         self.feed = StandinFeed()
         self.mirrors = [StandinMirror("a"), StandinMirror("b")]
-        self.reader = SourceSelector(
+        self.selector = SourceSelector(
             identity,
             self.fleet,
             self.digests,
@@ -95,7 +95,7 @@
         self.receive_states()
 
     def receive_states(self, reading=(), failed=(), changed_at=(5, 5), silent=()):
-        """Every neighbour tells its state."""
+        """Receive a message from every peer that is not ``silent``."""
         self._sequence += 1
         for vm in VMS:
             if vm == self._vm:
@@ -113,73 +113,74 @@
             self.fleet.hear(message, f"{vm}:1", 0.0)
 
     async def __aenter__(self):
-        await self.reader.start(None)
+        await self.selector.start(None)
         await asyncio.sleep(START_WAIT_S + 2 * CHECK_INTERVAL_S)
         return self
 
     async def __aexit__(self, *error):
-        await self.reader.stop()
+        await self.selector.stop()
 
 
-async def test_first_ones_read_and_the_others_follow_them():
+async def test_first_vms_read_and_the_others_follow_them():
     async with SelectorHarness(ORDER[1]) as harness:
-        assert harness.reader.reads()
+        assert harness.selector.is_reading()
         assert harness.feed.source == ""
     async with SelectorHarness(ORDER[2]) as harness:
         harness.receive_states(reading=ORDER[:2])
         await asyncio.sleep(0.3)
-        assert not harness.reader.reads()
+        assert not harness.selector.is_reading()
         assert harness.feed.source == ORDER[0]
 
 
-async def test_reader_that_is_lost_is_replaced():
-    # A reader loses its power. The next VM in the order has to read in its
-    # place, and believes what the store does not list: nobody says that the
-    # store was away.
+async def test_lost_reader_is_replaced():
+    # A reader loses power. The next VM in the order has to read in its place.
+    # It applies removals at once, since no VM has reported the store as
+    # unreachable.
     async with SelectorHarness(ORDER[2]) as harness:
         harness.receive_states(reading=ORDER[:2])
         await asyncio.sleep(0.3)
         harness.receive_states(reading=ORDER[1:2], silent=ORDER[:1])
         await asyncio.sleep(0.3)
-        assert harness.reader.reads()
+        assert harness.selector.is_reading()
         assert harness.mirrors[0].lost_at is None
 
 
-async def test_vm_that_reads_after_an_outage_doubts_removals():
-    # The store was away for seconds and has dropped the entries of upstreams
-    # that could not renew them. A VM that reads it first then must know.
+async def test_vm_that_reads_after_an_outage_delays_removals():
+    # The store was unreachable for seconds and has dropped the entries of
+    # upstreams that could not renew them. A VM that begins to read then must
+    # know of the outage.
     async with SelectorHarness(ORDER[2]) as harness:
         harness.receive_states(reading=ORDER[:2])
         await asyncio.sleep(0.3)
         harness.receive_states(failed=ORDER[:2])
         await asyncio.sleep(2.0)
-        assert harness.reader.reads()
+        assert harness.selector.is_reading()
         assert harness.mirrors[0].lost_at is not None
 
 
-async def test_refused_vm_lets_others_read():
+async def test_vm_whose_calls_fail_lets_others_read():
     async with SelectorHarness(ORDER[2]) as harness:
         harness.receive_states(failed=ORDER[:2])
         harness.mirrors[0].answers = False
         await asyncio.sleep(0.5)
-        assert harness.reader.get_store_state().failed
+        assert harness.selector.get_store_state().failed
         assert not harness.mirrors[0].is_following()
-        # One call told that the store does not answer.
+        # A single call has shown that the store does not answer.
         assert harness.mirrors[1].starts == 0
 
 
-async def test_first_in_the_order_goes_on_asking():
+async def test_first_vm_in_the_order_keeps_retrying():
     async with SelectorHarness(ORDER[0]) as harness:
         harness.mirrors[0].answers = False
         harness.mirrors[0].stop_following()
         await asyncio.sleep(1.0)
         assert harness.mirrors[0].is_following()
-        assert harness.reader.get_store_state().failed
+        assert harness.selector.get_store_state().failed
 
 
-async def test_deaf_reader_takes_what_others_know():
-    # A watch hangs on a connection that went silent, and the reader hears of
-    # nothing. Its neighbours would go on sending to an upstream that left.
+async def test_reader_that_misses_changes_follows_another_vm():
+    # A watch hangs on a dead connection, so the reader receives no changes.
+    # Its followers would go on sending requests to an upstream that has left.
     async with SelectorHarness(ORDER[0]) as harness:
         starts = [mirror.starts for mirror in harness.mirrors]
         harness.receive_states(reading=ORDER[1:2], changed_at=(5, 9))
@@ -194,9 +195,9 @@
         assert harness.feed.source == ""
 
 
-async def test_region_whose_readers_are_deaf_learns_from_another():
-    # The store hears all readers of a region and answers none, while others
-    # are served. Only a digest tells that there was a change.
+async def test_region_whose_readers_miss_changes_follows_another_region():
+    # The store accepts the calls of all readers of a region and answers none,
+    # while it serves other regions. Only a digest shows that it has changed.
     async with SelectorHarness(ORDER[3]) as harness:
         harness.receive_states(reading=ORDER[:2])
         await asyncio.sleep(0.3)
@@ -205,7 +206,7 @@
         assert harness.feed.source == "far"
 
 
-async def test_source_that_missed_a_change_is_not_trusted_again_at_once():
+async def test_source_that_missed_a_change_is_avoided_for_a_while():
     async with SelectorHarness(ORDER[3]) as harness:
         harness.receive_states(reading=ORDER[:2])
         await asyncio.sleep(0.3)
@@ -223,19 +224,19 @@
 
 
 @pytest.mark.parametrize("source_reads", [True, False])
-async def test_fed_vm_is_as_fresh_as_its_source(source_reads):
-    # A VM that does not know whether it missed a change may not say that a
-    # route does not exist.
+async def test_follower_is_as_fresh_as_its_source(source_reads):
+    # A VM that may have missed changes must not reply that a route does not
+    # exist.
     async with SelectorHarness(ORDER[3]) as harness:
         harness.receive_states(reading=ORDER[:2])
         harness.feed.source_reads = source_reads
         await asyncio.sleep(0.3)
-        assert harness.reader.is_fresh() is source_reads
+        assert harness.selector.is_fresh() is source_reads
 
 
-async def test_one_mirror_asks_for_all_while_the_store_is_away():
-    # The store is busy, and every VM that reads asks again for each kind.
-    # What it has left to give goes into refusals.
+async def test_one_mirror_probes_an_unreachable_store_for_all():
+    # The store is overloaded, and every reader retries for each kind. The
+    # store's remaining capacity goes into rejections.
     async with SelectorHarness(ORDER[0]) as harness:
         first, second = harness.mirrors
         first.answers = False
@@ -247,9 +248,9 @@
         assert second.is_following()
 
 
-async def test_what_hung_in_an_outage_is_asked_for_again():
+async def test_watches_that_hung_in_an_outage_are_sent_again():
     # A watch that was sent in an outage is never answered. The first mirror
-    # has noticed the outage; the others must not wait for their own.
+    # has detected the outage; the others must not wait for their own timeouts.
     async with SelectorHarness(ORDER[0]) as harness:
         first, second = harness.mirrors
         starts = second.starts
@@ -261,7 +262,7 @@
 
 
 @pytest.mark.parametrize(("answers", "reached"), [(True, 5), (False, None)])
-async def test_old_lists_are_held_against_the_fresh_ones(answers, reached):
+async def test_stale_lists_are_checked_against_the_fresh_ones(answers, reached):
     harness = SelectorHarness(ORDER[0])
     first, second = harness.mirrors
     second.begins_old = True
--- a/godwitlanding/tests/gateway/test_store_restored.py
+++ b/godwitlanding/tests/gateway/test_store_restored.py
@@ -1,4 +1,4 @@
-"""The store comes back from an older copy: what VMs make of it."""
+"""Behaviour of VMs when the store is restored from an older copy."""
 
 import asyncio
 
@@ -9,8 +9,8 @@
 
 # Time in which a change has to be in force.
 CONFIG_S = 2.5
-AWAY_S = 1.0
-# Maps are saved every 4 s; the store's return is noticed within a second.
+OUTAGE_S = 1.0
+# Cache entries are saved every 4 s; a restored store is detected within 1 s.
 WRITTEN_S = 10.0
 NEW_ROUTE = [
     *("new", "h", "/new/", "safe", "2s", "400ms", 2, None, 2, True, [], "looks")
@@ -25,23 +25,23 @@
 
 
 async def write_much(store):
-    """Let the store's revision rise far beyond that of a copy."""
+    """Raise the store's revision far beyond that of a copy."""
     for number in range(20):
         await store.put("things", "a", {"number": number})
 
 
 async def restore(store, copy):
-    """Take the store away for a moment; it comes back from ``copy``."""
+    """Make the store unreachable for ``OUTAGE_S``, then restore ``copy``."""
     store.faults.status = 503
-    await asyncio.sleep(AWAY_S)
+    await asyncio.sleep(OUTAGE_S)
     await store.come_back(copy)
     store.faults.status = 0
 
 
-async def lose_a_configuration(world):
-    """Take the store back to before a configuration that is in force.
+async def lose_configuration(world):
+    """Restore a copy from before the configuration that is in force.
 
-    The operator writes it again.
+    The operator then writes the configuration again.
     """
     copy = world.store.take_copy()
     await write_much(world.store)
@@ -52,17 +52,17 @@
     await asyncio.sleep(0.5)
 
 
-async def test_configuration_after_the_store_was_restored_is_in_force_in_time(world):
-    # Revisions are given out again; changes that bore known ones were refused.
-    await lose_a_configuration(world)
+async def test_configuration_written_after_a_restoration_is_applied_in_time(world):
+    # The store assigns revisions again; changes with known ones were ignored.
+    await lose_configuration(world)
     await world.store.put("config", "main", make_config("r9", [NEW_ROUTE]))
     await asyncio.sleep(CONFIG_S)
     statuses = [(await world.ask(vm, "/new/1"))[0].status for vm in world.vms]
     assert statuses == [200, 200, 200]
 
 
-async def test_upstream_that_leaves_after_the_store_was_restored_gets_nothing(world):
-    # Its entry was refused as older than the one that the store had lost.
+async def test_upstream_that_leaves_after_a_restoration_gets_no_requests(world):
+    # Its entry was ignored as older than the one that the store had lost.
     leaving = world.get_worker("look-1")
     copy = world.store.take_copy()
     await write_much(world.store)
@@ -79,10 +79,10 @@
     assert not leaving.ran
 
 
-async def test_vm_that_starts_on_an_old_list_of_a_lost_history_hears_of_changes(
+async def test_vm_that_starts_with_a_stale_list_of_a_lost_history_gets_changes(
     tmp_path,
 ):
-    # The list bears revisions that the store gives out again later.
+    # The list has revisions that the store assigns again later.
     async with World(tmp_path, zones=("a1",)) as world:
         leaving = world.get_worker("look-1")
         copy = world.store.take_copy()
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("is_listed", [True, False])
-async def test_upstream_that_left_gets_nothing_because_a_copy_calls_it_ready(
+async def test_upstream_that_left_gets_no_requests_when_a_copy_lists_it_as_ready(
     world, is_listed
 ):
     left = world.get_worker("look-1")
@@ -118,7 +118,7 @@
     assert not left.ran
 
 
-async def test_evacuated_zone_gets_nothing_while_the_operator_writes_it_again(world):
+async def test_evacuated_zone_gets_no_requests_until_it_is_written_again(world):
     evacuated = world.get_worker("look-1")
     copy = world.store.take_copy()
     await world.store.put("evacuations", evacuated.zone, {})
@@ -134,8 +134,8 @@
     assert not evacuated.ran
 
 
-async def test_vms_write_again_what_the_store_has_lost(tmp_path):
-    # Their own objects and the map of what upstreams know were written once.
+async def test_vms_write_lost_objects_again(tmp_path):
+    # The VMs' own objects and the saved cache entries were written only once.
     async with World(tmp_path) as world:
         copy = world.store.take_copy()
         await world.start()
--- a/godwitlanding/tests/support_fleet.py
+++ b/godwitlanding/tests/support_fleet.py
@@ -1,4 +1,4 @@
-"""VMs as tests describe them to each other."""
+"""Factories for gossip messages, peers and fleets in tests."""
 
 from godwitlanding.decisions.fleet import Capacity, Fleet, Peer
 from godwitlanding.gateway.gossipmessage import GossipMessage
@@ -7,7 +7,7 @@
 
 
 def make_gossip_message(vm, **changes):
-    """Return what a VM in service says of itself, with ``changes``."""
+    """Return the message of a VM in service, with ``changes``."""
     message = GossipMessage(
         vm=vm,
         incarnation=1,
@@ -29,7 +29,7 @@
 
 
 def make_peer(vm, **changes):
-    """Return a VM in service as its peers hold it, with ``changes``."""
+    """Return the ``Peer`` of a VM in service, with ``changes``."""
     peer = Peer(
         vm=vm,
         address=f"{vm}:1",
@@ -50,9 +50,9 @@
     return peer._replace(**changes)
 
 
-def make_fleet(*bulletins):
-    """Return a fleet that has heard the bulletins."""
+def make_fleet(*messages):
+    """Return a fleet that has received ``messages``."""
     fleet = Fleet()
-    for message in bulletins:
+    for message in messages:
         fleet.hear(message, f"{message.vm}:1", 0.0)
     return fleet
