--- a/godwitlanding/decisions/access.py
+++ b/godwitlanding/decisions/access.py
@@ -60,7 +60,7 @@
     return _ANONYMOUS if route.allow_anonymous else _UNKNOWN
 
 
-def join_regions(route, workspace):
+def intersect_regions(route, workspace):
     """Return the regions in which a request may run, ``None`` for all.
 
     Where the route and the workspace both name some, both bind, and nothing
--- a/godwitlanding/decisions/allotment.py
+++ b/godwitlanding/decisions/allotment.py
@@ -26,18 +26,18 @@
 import math
 from typing import NamedTuple
 
-from godwitlanding.decisions.bucket import Bucket, Count
-from godwitlanding.decisions.quorum import HOLD_S, QUIET_S
+from godwitlanding.decisions.reachability import HOLD_S, QUIET_S
 from godwitlanding.decisions.sharing import share_fairly
 from godwitlanding.decisions.tally import (
     COUNTS,
-    Asked,
+    AskedRate,
     Level,
     PeerTallies,
     Tally,
     get_difference,
     get_workspace_number,
 )
+from godwitlanding.decisions.workspacebucket import Bucket, Count
 
 # About the requests of this time tell what a region's callers ask for.
 ASKED_OVER_S = 3.0
@@ -75,7 +75,7 @@
     over_share: float = 0.1
     over_requests: float = 20.0
 
-    def get_spare(self, workspace):
+    def get_extra_burst(self, workspace):
         """Return the requests by which all buckets together are larger."""
         allowed = workspace.rate_per_s * self.window_s + workspace.burst
         return SPARE_SHARE * (self.over_share * allowed + self.over_requests)
@@ -209,7 +209,7 @@
             bucket.fill(now)
         return tuple(Level(number, bucket.level) for number, bucket in buckets)
 
-    def learn(self, levels, now):
+    def adopt_levels(self, levels, now):
         """A neighbour tells a VM that has just started what is left.
 
         What it says is taken once: it counts what this VM itself sends a
@@ -227,7 +227,7 @@
             bucket.fill(now)
             bucket.level = min(bucket.capacity, level.requests)
 
-    def hear_region(self, region, asked, now):
+    def receive_region_demand(self, region, asked, now):
         """Another region tells what its callers ask for."""
         if region == self._region:
             return
@@ -246,12 +246,12 @@
         if not self._workspace_by_number:
             return ()
         rows = [
-            Asked(number, bucket.asked_per_s / self._quorum)
+            AskedRate(number, bucket.asked_per_s / self._quorum)
             for number, bucket in self._bucket_by_number.items()
             if bucket.asked_per_s > LEAST_PER_S
         ]
         rows.sort(key=lambda asked: asked.per_s, reverse=True)
-        return tuple(rows[:MAX_ROWS]) or (Asked(0, 0.0),)
+        return tuple(rows[:MAX_ROWS]) or (AskedRate(0, 0.0),)
 
     def update(self, quorum, now):
         """Work out the region's parts again.
@@ -321,7 +321,7 @@
         return accrued + START_SHARE * self._get_spare(bucket.workspace)
 
     def _get_spare(self, workspace):
-        return self._tolerance.get_spare(workspace) / len(self._regions)
+        return self._tolerance.get_extra_burst(workspace) / len(self._regions)
 
     def _is_young(self, now):
         return now - self._started_at < LEARN_S
--- a/godwitlanding/decisions/digest.py
+++ b/godwitlanding/decisions/digest.py
@@ -16,14 +16,14 @@
 from godwitlanding.decisions.fleet import find_strong, pick_carriers
 from godwitlanding.decisions.objectmap import CacheEntry
 from godwitlanding.decisions.ratelimit import LimitedUpstream
-from godwitlanding.decisions.tally import Asked
+from godwitlanding.decisions.tally import AskedRate
 
 REPRESENTATIVES = 2
 # VMs of another region that a representative tells each time while none there
 # has told it anything; then that one, and another at random now and then.
 TARGETS = 2
 # Between two digests; shares of regions move by 4 in 100 a second.
-DIGEST_PAUSE_S = 0.5
+DIGEST_INTERVAL_S = 0.5
 # A digest that was heard from outside is passed on for this long, twice the
 # pause, and one that is not renewed is dropped after three times that.
 PASSED_ON_S = 1.0
@@ -58,7 +58,7 @@
     # Which upstreams got which objects lately.
     met: tuple[CacheEntry, ...] = ()
     # What the region's callers ask for, by workspace; in every other digest.
-    asked: tuple[Asked, ...] = ()
+    asked: tuple[AskedRate, ...] = ()
     # Its upstreams that have named a limit.
     limited: tuple[LimitedUpstream, ...] = ()
     # Numbers of upstreams that leave, though the store does not say so.
@@ -118,7 +118,7 @@
         if is_direct:
             self._direct_at_by_region[digest.region] = now
 
-    def get_passed_on(self, now):
+    def get_forwarded(self, now):
         """Return the digests that this VM passes on to its neighbours."""
         regions = sorted(
             region
--- a/godwitlanding/decisions/fleet.py
+++ b/godwitlanding/decisions/fleet.py
@@ -22,7 +22,7 @@
 from godwitlanding.base.rendezvous import rank
 
 # As in ``occupancy``: ten messages in a row.
-SILENT_S = 1.5
+PEER_TIMEOUT_S = 1.5
 # VMs that carry nothing are heard less often (``audience``): three rounds.
 IDLE_SILENT_S = 5.0
 MAX_NAMED = 64
@@ -76,7 +76,7 @@
     # Revisions of the last changes that it knows, by kind in alphabetical
     # order.
     changed_at: tuple[int, ...]
-    heard_at: float
+    received_at: float
 
     @property
     def host(self):
@@ -102,7 +102,7 @@
         reads=False,
         failed=False,
         changed_at=(),
-        heard_at=0.0,
+        received_at=0.0,
     )
 
 
@@ -145,7 +145,8 @@
         silent = [
             peer
             for peer in self.peer_by_vm.values()
-            if now - peer.heard_at > (SILENT_S if peer.active else IDLE_SILENT_S)
+            if now - peer.received_at
+            > (PEER_TIMEOUT_S if peer.active else IDLE_SILENT_S)
         ]
         for peer in silent:
             del self.peer_by_vm[peer.vm]
--- a/godwitlanding/decisions/ratelimit.py
+++ b/godwitlanding/decisions/ratelimit.py
@@ -188,7 +188,7 @@
             return False
         return self._believe(limit, row.per_s, now - row.age_s, now)
 
-    def hear_region(self, region, limited, now):
+    def receive_region_limits(self, region, limited, now):
         """Another region tells which of its upstreams are limited."""
         self._heard_at_by_region[region] = now
         for upstream, per_s in limited:
--- a/godwitlanding/decisions/quorum.py
+++ b/godwitlanding/decisions/reachability.py
@@ -30,7 +30,7 @@
     heard: int
 
 
-class Quorum:
+class Reachability:
     """The VMs of a region that this one hears; ``now`` is one clock's."""
 
     def __init__(self):
--- a/godwitlanding/decisions/audience.py
+++ b/godwitlanding/decisions/recipients.py
@@ -13,7 +13,7 @@
 """
 
 # Pauses between two words of an active VM; it is silent after almost four.
-STATE_PAUSE_S = 0.4
+STATE_INTERVAL_S = 0.4
 # A VM that callers are not sent to gets a stray request now and then: from
 # those that keep connections, or ask each VM which routes it knows. That does
 # not make it one of those that carry.
@@ -31,7 +31,7 @@
     return rate_per_s > STRAY_PER_S or not carriers or own_vm in carriers
 
 
-def pick_listeners(active, hosts, active_hosts, turn):
+def pick_recipients(active, hosts, active_hosts, turn):
     """Return the hosts that are told in the pause with the number ``turn``.
 
     ``hosts`` are those of the region, ``active_hosts`` those of its active
--- a/godwitlanding/decisions/regionshare.py
+++ b/godwitlanding/decisions/regionshare.py
@@ -25,11 +25,11 @@
 
 from godwitlanding.decisions.homes import CACHED_OBJECTS
 
-FULL = 0.9
+MAX_UTILIZATION = 0.9
 # Objects that a region keeps for each of its upstreams while others have
 # room: at ``REMEMBERED_OBJECTS`` in the mean every other upstream has more,
 # and one in fifty requests finds seven others at its only home.
-KEPT_OBJECTS = 10
+TARGET_CACHED_OBJECTS = 10
 # Twice this is the change between two windows of 2 s, 0.08, and half of the
 # 0.15 that users allow; the rest is for the luck of which requests arrive.
 MAX_STEP_PER_S = 0.04
@@ -42,7 +42,7 @@
     capacity_per_s: float
 
 
-def get_known_share(upstreams, objects, each=CACHED_OBJECTS):
+def get_cacheable_share(upstreams, objects, each=CACHED_OBJECTS):
     """Return the share of all objects that a region can keep in memory.
 
     ``each`` is how many an upstream is to remember.
@@ -57,7 +57,7 @@
     excess_by_region = {}
     room_by_region = {}
     for name, load in load_by_region.items():
-        usable = FULL * load.capacity_per_s
+        usable = MAX_UTILIZATION * load.capacity_per_s
         excess_by_region[name] = max(0.0, load.arrivals_per_s - usable)
         room_by_region[name] = max(0.0, usable - load.arrivals_per_s)
     own = load_by_region[region]
@@ -84,7 +84,7 @@
     return {n: held.get(n, 0.0) + move * scale for n, move in move_by_name.items()}
 
 
-class RegionDealer:
+class RegionSelector:
     """Deals requests out to regions in the shares.
 
     Requests about an object go by the object; the others evenly over time.
--- a/godwitlanding/decisions/lapse.py
+++ b/godwitlanding/decisions/removalguard.py
@@ -16,19 +16,19 @@
 from collections import OrderedDict
 
 # Upstreams that live are back within about two seconds of the return.
-BACK_WITHIN_S = 2.0
+REWRITE_WITHIN_S = 2.0
 # Silence of three heartbeats removes an entry; this much must pass without a
 # word of the store before removals are doubted.
 DOUBT_AFTER_S = 1.0
 # An entry that a copy has brought back is dropped by then: three heartbeats,
 # and the way of the news.
-RETURNED_S = 5.0
+STALE_ENTRY_TTL_S = 5.0
 # Copies are younger.
 GONE_MEMORY_S = 60.0
 MAX_GONE = 4096
 
 
-class LapseGuard:
+class RemovalGuard:
     """Holds removals and returns back for a while.
 
     With ``expires`` the store drops an object whose writer is silent; other
@@ -44,25 +44,25 @@
         self._due_by_name = {}
         self._gone_at_by_name = OrderedDict()
 
-    def note_lost(self, now):
+    def note_store_lost(self, now):
         """The store does not answer (again)."""
         if self._lost_at is None:
             self._lost_at = now
 
-    def note_answer(self, now):
+    def note_store_answer(self, now):
         """The store answers; after an outage removals are doubted a while."""
         was_lost = self._lost_at is not None
         if self._expires and was_lost and now - self._lost_at >= DOUBT_AFTER_S:
-            self._doubt_until = now + BACK_WITHIN_S
+            self._doubt_until = now + REWRITE_WITHIN_S
         self._lost_at = None
 
     def note_restored(self, now):
         """The store has come back from an older copy."""
-        self._doubt_until = now + BACK_WITHIN_S
+        self._doubt_until = now + REWRITE_WITHIN_S
         if self._expires:
-            self._returns_doubted_until = now + RETURNED_S
+            self._returns_doubted_until = now + STALE_ENTRY_TTL_S
 
-    def note_gone(self, name, now):
+    def note_removed(self, name, now):
         """The entry is dropped."""
         self._gone_at_by_name.pop(name, None)
         self._gone_at_by_name[name] = now
@@ -78,15 +78,15 @@
         self._due_by_name.setdefault(name, self._doubt_until)
         return False
 
-    def keep(self, name):
+    def cancel_removal(self, name):
         """The entry is back."""
         self._due_by_name.pop(name, None)
 
-    def doubts_return(self, name, now):
+    def is_reappearance_suspect(self, name, now):
         """Tell whether an entry that a copy holds may be one that is gone."""
         return now < self._returns_doubted_until and name in self._gone_at_by_name
 
-    def take_due(self, now):
+    def take_due_removals(self, now):
         """Return the names whose time to come back has passed."""
         due = [name for name, at in self._due_by_name.items() if at <= now]
         for name in due:
--- a/godwitlanding/decisions/reading.py
+++ b/godwitlanding/decisions/storereaders.py
@@ -26,8 +26,8 @@
 # Readers and sources give a sign of life this often; after three are
 # missing they are taken for lost. The shortest time in which a change has
 # to be in force is 2.5 s.
-SIGN_PAUSE_S = 0.3
-SIGN_SILENT_S = 1.0
+HEARTBEAT_INTERVAL_S = 0.3
+HEARTBEAT_TIMEOUT_S = 1.0
 # A push takes some milliseconds in a region, a digest up to 0.5 s.
 BEHIND_S = 0.3
 # Where nobody reads, the first in the order has this long to begin, and
@@ -35,7 +35,7 @@
 NOBODY_S = 0.5
 NOBODY_STEP_S = 0.25
 # A VM that the store refused lets others go first for this long.
-FAILED_S = 4.0
+FAILED_BACKOFF_S = 4.0
 # After its start a VM hears from its neighbours within this time if they
 # live; a way there and back takes 3 ms.
 START_WAIT_S = 0.15
@@ -51,7 +51,7 @@
     failed: bool
 
 
-def get_order(peers):
+def rank_readers(peers):
     """Return the names of a region's VMs in the order in which they read.
 
     Strong VMs come first: they push what they learn to all others.
@@ -79,7 +79,7 @@
     return nobody_for_s > NOBODY_S + NOBODY_STEP_S * position
 
 
-def may_rest(own, order, neighbour_by_vm):
+def may_stop_reading(own, order, neighbour_by_vm):
     """Tell whether enough others read for a VM that need not."""
     reading = [vm for vm in order if vm != own.vm and _reads(vm, neighbour_by_vm)]
     return len(reading) >= READERS
--- a/godwitlanding/decisions/tally.py
+++ b/godwitlanding/decisions/tally.py
@@ -27,7 +27,7 @@
     requests: float
 
 
-class Asked(NamedTuple):
+class AskedRate(NamedTuple):
     """Requests a second that a region's callers ask for."""
 
     number: int
--- a/godwitlanding/gateway/admission.py
+++ b/godwitlanding/gateway/admission.py
@@ -20,8 +20,8 @@
     find_access,
     read_key,
 )
-from godwitlanding.decisions.comeback import get_token_retry_s
 from godwitlanding.decisions.patience import Patience
+from godwitlanding.decisions.retryafter import get_token_retry_s
 from godwitlanding.decisions.routes import Splitter, find_route
 from godwitlanding.gateway.attempt import Work, make_fingerprint
 
--- a/godwitlanding/gateway/attempt.py
+++ b/godwitlanding/gateway/attempt.py
@@ -5,7 +5,7 @@
 
 import xxhash
 
-from godwitlanding.decisions.access import join_regions
+from godwitlanding.decisions.access import intersect_regions
 from godwitlanding.decisions.routes import Route, Workspace
 from godwitlanding.gateway.exchange import select_headers
 
@@ -39,7 +39,7 @@
     @property
     def allowed_regions(self):
         """Return where it may run, ``None`` for every region."""
-        return join_regions(self.route, self.workspace)
+        return intersect_regions(self.route, self.workspace)
 
     @property
     def workspace_name(self):
--- a/godwitlanding/gateway/carrier.py
+++ b/godwitlanding/gateway/carrier.py
@@ -7,7 +7,7 @@
 
 from godwitlanding.base.codes import ROW_BY_CODE, Code
 from godwitlanding.base.kernel import Service
-from godwitlanding.decisions.comeback import get_retry_after_s
+from godwitlanding.decisions.retryafter import get_retry_after_s
 from godwitlanding.gateway.attempt import Charge, Outcome
 from godwitlanding.gateway.chooser import Rejection
 from godwitlanding.gateway.exchange import select_headers
--- a/godwitlanding/gateway/feed.py
+++ b/godwitlanding/gateway/feed.py
@@ -29,7 +29,10 @@
 from godwitlanding.base.storetypes import StoredObject
 from godwitlanding.base.tasks import start_task
 from godwitlanding.base.wire import Pool, Server
-from godwitlanding.decisions.reading import SIGN_PAUSE_S, SIGN_SILENT_S
+from godwitlanding.decisions.storereaders import (
+    HEARTBEAT_INTERVAL_S,
+    HEARTBEAT_TIMEOUT_S,
+)
 from godwitlanding.gateway.changeset import ChangeSet
 
 ROLE = "vm"
@@ -115,11 +118,11 @@
         detail = await self._subscribe(address)
         if not detail:
             log_message("feed:following", source=host)
-            while _now() - self._last_received_at <= SIGN_SILENT_S:
+            while _now() - self._last_received_at <= HEARTBEAT_TIMEOUT_S:
                 if self._channel.closed.is_set():
                     detail = "closed"
                     break
-                await asyncio.sleep(SIGN_PAUSE_S)
+                await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             else:
                 detail = "silent"
         log_message("feed:lost", level="warning", source=host, detail=detail)
@@ -202,7 +205,7 @@
 
     async def _send_heartbeats(self):
         while True:
-            await asyncio.sleep(SIGN_PAUSE_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             sign = Sign(self.is_reading())
             for channel in list(self._followers):
                 if channel.closed.is_set():
--- a/godwitlanding/gateway/gossipmessage.py
+++ b/godwitlanding/gateway/gossipmessage.py
@@ -12,7 +12,7 @@
 from godwitlanding.decisions.fleet import Capacity
 from godwitlanding.decisions.objectmap import CacheEntry
 from godwitlanding.decisions.ratelimit import LimitedUpstream, LimitRow
-from godwitlanding.decisions.tally import Asked, Level, Tally
+from godwitlanding.decisions.tally import AskedRate, Level, Tally
 
 _schema = capnp.load(str(Path(__file__).with_name("peer.capnp")))
 _PAIR = struct.Struct("<II")
@@ -218,7 +218,7 @@
         source=row.source,
         changed_at=tuple(row.changedAt),
         met=_unpack_cache_entries(row.met),
-        asked=_unpack_amounts(Asked, row.asked),
+        asked=_unpack_amounts(AskedRate, row.asked),
         limited=_unpack_amounts(LimitedUpstream, row.limited),
         leaving_upstreams=_unpack_numbers(row.leavingUpstreams),
     )
--- a/godwitlanding/gateway/knownvms.py
+++ b/godwitlanding/gateway/knownvms.py
@@ -11,7 +11,7 @@
 from eliot import log_message
 
 from godwitlanding.decisions.fleet import get_carriers
-from godwitlanding.decisions.quorum import Quorum
+from godwitlanding.decisions.reachability import Reachability
 from godwitlanding.gateway.remotetargets import RemoteTargets, get_hosts
 
 # The reachable share is logged when it has changed by more than this.
@@ -34,7 +34,7 @@
         self._digests = digests
         self._remote_targets = RemoteTargets(digests)
         self._listed_by_vm = {}
-        self._quorum = Quorum()
+        self._quorum = Reachability()
         self._logged_share = 1.0
 
     def put(self, vm, listed):
--- a/godwitlanding/gateway/mirror.py
+++ b/godwitlanding/gateway/mirror.py
@@ -24,7 +24,7 @@
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.storetypes import get_era, make_version
 from godwitlanding.base.tasks import start_task
-from godwitlanding.decisions.lapse import RETURNED_S
+from godwitlanding.decisions.removalguard import STALE_ENTRY_TTL_S
 from godwitlanding.gateway.changeset import ChangeSet, make_change_set
 
 # A call that the store accepted during an outage may never be answered
@@ -118,7 +118,7 @@
         if self._task:
             return
         if self._guard and lost_at is not None:
-            self._guard.note_lost(lost_at)
+            self._guard.note_store_lost(lost_at)
         self._task = start_task(self._follow())
 
     def stop_following(self):
@@ -280,7 +280,7 @@
         refused = []
         for stored in change_set.objects:
             if self._guard:
-                self._guard.keep(stored.name)
+                self._guard.cancel_removal(stored.name)
             held = self._object_by_name.get(stored.name)
             known_revision = held.version if held else self.revision
             if stored.version > known_revision or not self.is_known:
@@ -314,7 +314,9 @@
         if self._reappeared_timer:
             self._reappeared_timer.cancel()
         loop = asyncio.get_running_loop()
-        self._reappeared_timer = loop.call_later(RETURNED_S, self._apply_reappeared)
+        self._reappeared_timer = loop.call_later(
+            STALE_ENTRY_TTL_S, self._apply_reappeared
+        )
 
     def _apply_reappeared(self):
         for stored in self._reappeared.values():
@@ -339,7 +341,7 @@
     def _may_be_gone(self, stored):
         if self._guard is None or stored.version > self._restored_revision:
             return False
-        return self._guard.doubts_return(stored.name, _now())
+        return self._guard.is_reappearance_suspect(stored.name, _now())
 
     def _remove(self, name):
         if self._guard and not self._guard.remove(name, _now()):
@@ -352,12 +354,12 @@
             self._removed.append(name)
             self._reappeared.pop(name, None)
             if self._guard:
-                self._guard.note_gone(name, _now())
+                self._guard.note_removed(name, _now())
             self._apply(name, 0, None)
 
     def _drop_due(self):
         if self._guard:
-            for name in self._guard.take_due(_now()):
+            for name in self._guard.take_due_removals(_now()):
                 self._drop(name)
 
     def _notify(self):
@@ -375,7 +377,7 @@
     def _note_success(self):
         now = _now()
         if self._guard:
-            self._guard.note_answer(now)
+            self._guard.note_store_answer(now)
         if self.is_lost:
             log_message(
                 "mirror:regained", kind=self.kind, after_s=now - self._answered_at
@@ -388,7 +390,7 @@
     async def _note_failure(self, refusal):
         self._listed_revision = None
         if self._guard:
-            self._guard.note_lost(_now())
+            self._guard.note_store_lost(_now())
         if not self.is_lost:
             self.is_lost = True
             log_message(
--- a/godwitlanding/gateway/peers.py
+++ b/godwitlanding/gateway/peers.py
@@ -17,18 +17,18 @@
 
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.tasks import start_task
-from godwitlanding.decisions.audience import (
-    STATE_PAUSE_S,
-    is_active,
-    pick_listeners,
-)
 from godwitlanding.decisions.digest import (
-    DIGEST_PAUSE_S,
+    DIGEST_INTERVAL_S,
     Digests,
     make_digest,
     pick_representatives,
 )
 from godwitlanding.decisions.fleet import get_carriers, is_busy, make_own_peer
+from godwitlanding.decisions.recipients import (
+    STATE_INTERVAL_S,
+    is_active,
+    pick_recipients,
+)
 from godwitlanding.gateway.arrivalrates import ArrivalRates
 from godwitlanding.gateway.crashgossip import CrashGossip
 from godwitlanding.gateway.datagrams import DatagramSocket
@@ -262,7 +262,7 @@
     async def _send_state_periodically(self):
         turn = 0
         while True:
-            await asyncio.sleep(STATE_PAUSE_S)
+            await asyncio.sleep(STATE_INTERVAL_S)
             turn += 1
             was_active = self._is_active
             self._is_active = self._compute_active()
@@ -271,7 +271,7 @@
             to_whole_region = self._is_active or was_active
             tallies, tells_all = self._allotment_gossip.get_periodic_tallies()
             self._send(
-                pick_listeners(
+                pick_recipients(
                     to_whole_region,
                     self._known_vms.get_region_hosts(),
                     self._known_vms.get_active_hosts(),
@@ -295,7 +295,7 @@
 
     async def _send_digests_periodically(self):
         while True:
-            await asyncio.sleep(DIGEST_PAUSE_S)
+            await asyncio.sleep(DIGEST_INTERVAL_S)
             self._send_digest()
 
     def _get_sharing_hosts(self):
@@ -361,7 +361,7 @@
             met = self._object_gossip.get_recent()
         if digests is None:
             now = asyncio.get_running_loop().time()
-            digests = self.digests.get_passed_on(now)
+            digests = self.digests.get_forwarded(now)
         return GossipMessage(
             vm=self._identity.vm,
             incarnation=self._incarnation,
--- a/godwitlanding/gateway/regionbalancer.py
+++ b/godwitlanding/gateway/regionbalancer.py
@@ -11,10 +11,10 @@
 from godwitlanding.decisions.forecast import Forecast
 from godwitlanding.decisions.regionshare import (
     FULL,
-    KEPT_OBJECTS,
-    RegionDealer,
+    TARGET_CACHED_OBJECTS,
     RegionLoad,
-    get_known_share,
+    RegionSelector,
+    get_cacheable_share,
     get_shares,
     step,
 )
@@ -65,14 +65,14 @@
             return regions[0]
         selector = self._selector_by_service.get(service)
         if selector is None:
-            selector = self._selector_by_service[service] = RegionDealer(self._region)
+            selector = self._selector_by_service[service] = RegionSelector(self._region)
         region = selector.pick(shares, key)
         return region if region in regions else regions[0]
 
     def can_cache_all_objects(self, service, region):
         """Tell whether a region's upstreams can cache every object."""
         upstreams = len(self._registry.get_usable(service, region))
-        return get_known_share(upstreams, self._homes.get_objects(service)) >= 1.0
+        return get_cacheable_share(upstreams, self._homes.get_objects(service)) >= 1.0
 
     def _update_shares(self):
         config = self._registry.config
@@ -105,8 +105,8 @@
             usable_upstreams = sum(
                 self._get_usable_share(upstream, work_s) for upstream in upstreams
             )
-            cacheable_by_region[region] = get_known_share(
-                usable_upstreams, objects, KEPT_OBJECTS
+            cacheable_by_region[region] = get_cacheable_share(
+                usable_upstreams, objects, TARGET_CACHED_OBJECTS
             )
         if not any(rate_by_region.values()):
             # Nothing is measured yet: assume that each region gets an equal
--- a/godwitlanding/gateway/sourceselector.py
+++ b/godwitlanding/gateway/sourceselector.py
@@ -11,14 +11,14 @@
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.tasks import start_task
 from godwitlanding.decisions.fleet import make_own_peer
-from godwitlanding.decisions.reading import (
+from godwitlanding.decisions.storereaders import (
     BEHIND_S,
-    FAILED_S,
+    FAILED_BACKOFF_S,
     START_WAIT_S,
     Neighbour,
     choose_source,
     get_order,
-    may_rest,
+    may_stop_reading,
     should_read,
 )
 from godwitlanding.gateway.gossipmessage import StoreState
@@ -112,7 +112,7 @@
             *(mirror.list_once(reached) for mirror in stale),
         )
         if not all(answered):
-            self._failed_until = _now() + FAILED_S
+            self._failed_until = _now() + FAILED_BACKOFF_S
         await asyncio.sleep(START_WAIT_S)
         self._reader_seen_at = _now()
         self._may_decide_reading = True
@@ -157,14 +157,14 @@
 
     def _decide_reading(self, order, neighbour_by_vm, now):
         if self._is_lost():
-            self._failed_until = now + FAILED_S
+            self._failed_until = now + FAILED_BACKOFF_S
         own = Neighbour(self._own.vm, self.is_reading(), self._has_failed())
         nobody_for_s = now - self._reader_seen_at
         should_follow = should_read(own, order, neighbour_by_vm, nobody_for_s)
         is_following = self._mirrors[0].is_following()
         if should_follow != is_following:
             if not should_follow and not own.failed:
-                if not may_rest(own, order, neighbour_by_vm):
+                if not may_stop_reading(own, order, neighbour_by_vm):
                     return
             log_message(
                 "reader:reads" if should_follow else "reader:rests",
@@ -244,7 +244,7 @@
             source=self._feed.source,
         )
         if self._feed.source:
-            self._distrusted_until_by_host[self._feed.source] = now + FAILED_S
+            self._distrusted_until_by_host[self._feed.source] = now + FAILED_BACKOFF_S
         self._distrusted_until_by_host.pop(host, None)
         for mirror in self._mirrors:
             if mirror.kind in kinds and mirror.is_following():
--- a/godwitlanding/program.py
+++ b/godwitlanding/program.py
@@ -16,10 +16,10 @@
 from godwitlanding.base.tasks import start_task
 from godwitlanding.decisions.allotment import Allotments
 from godwitlanding.decisions.fleet import Fleet
-from godwitlanding.decisions.lapse import LapseGuard
 from godwitlanding.decisions.objectmap import ObjectMap
 from godwitlanding.decisions.occupancy import Occupancy
 from godwitlanding.decisions.poison import PoisonLedger
+from godwitlanding.decisions.removalguard import RemovalGuard
 from godwitlanding.decisions.retrybudget import RetryBudget
 from godwitlanding.decisions.worktime import WorkTimes
 from godwitlanding.gateway.admission import Admission, Reach
@@ -148,7 +148,7 @@
         self.vm_mirror = self._make_mirror(
             VM_KIND,
             self._apply_vm,
-            guard=LapseGuard(expires=False),
+            guard=RemovalGuard(expires=False),
             on_known=self._note_vms_known,
         )
         self.mirrors = self._make_mirrors()
@@ -176,7 +176,7 @@
         upstream_mirror = self._make_mirror(
             UPSTREAM_KIND,
             self._apply_upstream,
-            guard=LapseGuard(),
+            guard=RemovalGuard(),
             begins_old=True,
             on_known=self._note_upstreams_known,
         )
@@ -184,7 +184,7 @@
         evacuation_mirror = self._make_mirror(
             EVACUATION_KIND,
             self._apply_evacuation,
-            guard=LapseGuard(expires=False),
+            guard=RemovalGuard(expires=False),
             begins_old=True,
         )
         return [
--- a/godwitlanding/tests/decisions/test_access.py
+++ b/godwitlanding/tests/decisions/test_access.py
@@ -5,7 +5,7 @@
 from godwitlanding.decisions.access import (
     Verdict,
     find_access,
-    join_regions,
+    intersect_regions,
     read_key,
 )
 from godwitlanding.decisions.routes import (
@@ -102,5 +102,5 @@
 def test_regions_of_route_and_workspace_both_bind(of_route, of_workspace, joined):
     workspace = OFFICE._replace(allowed_regions=frozenset(of_workspace))
     route = make_route(allowed_regions=of_route)
-    assert join_regions(route, workspace) == joined
-    assert join_regions(route, None) == (set(of_route) or None)
+    assert intersect_regions(route, workspace) == joined
+    assert intersect_regions(route, None) == (set(of_route) or None)
--- a/godwitlanding/tests/decisions/test_allotment.py
+++ b/godwitlanding/tests/decisions/test_allotment.py
@@ -11,7 +11,7 @@
 )
 from godwitlanding.decisions.routes import Workspace
 from godwitlanding.decisions.sharing import share_fairly
-from godwitlanding.decisions.tally import Asked, Level, Tally, get_workspace_number
+from godwitlanding.decisions.tally import AskedRate, Level, Tally, get_workspace_number
 
 NO_TOLERANCE = Tolerance(over_share=0.0, over_requests=0.0)
 OFFICE = Workspace("office", rate_per_s=10.0, burst=20.0)
@@ -74,10 +74,10 @@
     # Half of the VMs are killed and are back after two seconds. Their callers
     # all come at once, and those that lived know that hardly any was sent.
     allotments = make_allotments()
-    allotments.learn((Level(OFFICE_NUMBER, told),), at)
+    allotments.adopt_levels((Level(OFFICE_NUMBER, told),), at)
     assert take_all(allotments, at) == taken
     # What is told a second time counts what this VM has sent since.
-    allotments.learn((Level(OFFICE_NUMBER, told),), at)
+    allotments.adopt_levels((Level(OFFICE_NUMBER, told),), at)
     assert take_all(allotments, at) == 0
 
 
@@ -219,12 +219,12 @@
 
 def test_region_gets_what_others_do_not_ask_for():
     allotments = make_allotments(regions=("a", "b"))
-    allotments.hear_region("b", (Asked(0, 0.0),), 99.0)
+    allotments.receive_region_demand("b", (AskedRate(0, 0.0),), 99.0)
     now = 100.0
     for _ in range(200):
         now += 0.05
         allotments.take(OFFICE, now)
-        allotments.hear_region("b", (Asked(0, 0.0),), now)
+        allotments.receive_region_demand("b", (AskedRate(0, 0.0),), now)
         allotments.update(1.0, now)
     level, part_per_s = allotments.get_state(OFFICE)
     assert part_per_s == pytest.approx(10.0, abs=0.5)
@@ -232,7 +232,7 @@
     allotments.update(1.0, now + 10.0)
     assert allotments.get_state(OFFICE)[1] == pytest.approx(5.0, abs=0.1)
     # A part is raised only when the other has had time to lower its own.
-    allotments.hear_region("b", (Asked(0, 0.0),), now + 10.1)
+    allotments.receive_region_demand("b", (AskedRate(0, 0.0),), now + 10.1)
     allotments.update(1.0, now + 10.2)
     assert allotments.get_state(OFFICE)[1] == pytest.approx(5.0, abs=0.1)
     allotments.update(1.0, now + 10.3 + RAISE_AFTER_S)
@@ -243,7 +243,7 @@
     # All that a workspace may send is asked for in one region, many times
     # over. Its first caller in another one is told a time like everybody.
     allotments = make_allotments(regions=("a", "b"))
-    allotments.hear_region("b", (Asked(OFFICE_NUMBER, 75.0),), 100.0)
+    allotments.receive_region_demand("b", (AskedRate(OFFICE_NUMBER, 75.0),), 100.0)
     waits = [allotments.take(OFFICE, 100.0) for _ in range(3)]
     assert waits[0] == 0.0
     assert 0.0 < waits[-1] < 60.0
--- a/godwitlanding/tests/decisions/test_digest.py
+++ b/godwitlanding/tests/decisions/test_digest.py
@@ -66,8 +66,8 @@
     digests = Digests("r")
     digests.hear(make_region("q"), True, 0.0)
     digests.hear(make_region("p"), False, 0.0)
-    assert [digest.region for digest in digests.get_passed_on(0.1)] == ["q"]
-    assert digests.get_passed_on(PASSED_ON_S + 0.1) == ()
+    assert [digest.region for digest in digests.get_forwarded(0.1)] == ["q"]
+    assert digests.get_forwarded(PASSED_ON_S + 0.1) == ()
 
 
 def test_silent_region_is_forgotten():
@@ -92,7 +92,7 @@
         digests.hear(make_region(name), True, 0.0)
     told = set()
     for _ in range(3):
-        passed_on = digests.get_passed_on(0.1)
+        passed_on = digests.get_forwarded(0.1)
         assert len(passed_on) == MAX_PASSED_ON
         told |= {digest.region for digest in passed_on}
     assert told == set(names)
--- a/godwitlanding/tests/decisions/test_fleet.py
+++ b/godwitlanding/tests/decisions/test_fleet.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from godwitlanding.decisions.comeback import get_retry_after_s
 from godwitlanding.decisions.fleet import (
     IDLE_SILENT_S,
     MIN_CARRIERS,
-    SILENT_S,
+    PEER_TIMEOUT_S,
     Capacity,
     choose_addresses,
     pick_carriers,
 )
+from godwitlanding.decisions.retryafter import get_retry_after_s
 from godwitlanding.tests.support_fleet import make_fleet, make_gossip_message, make_peer
 
 OWN = make_peer("own")
@@ -146,8 +146,8 @@
     # A VM loses its power and says nothing. Callers that are sent to it wait
     # a second for a connection, again and again.
     fleet = make_fleet(make_gossip_message("a"))
-    assert fleet.drop_silent(SILENT_S - 0.1) == []
-    assert [peer.vm for peer in fleet.drop_silent(SILENT_S + 0.1)] == ["a"]
+    assert fleet.drop_silent(PEER_TIMEOUT_S - 0.1) == []
+    assert [peer.vm for peer in fleet.drop_silent(PEER_TIMEOUT_S + 0.1)] == ["a"]
     assert fleet.get_usable("r") == []
 
 
--- a/godwitlanding/tests/decisions/test_ratelimit.py
+++ b/godwitlanding/tests/decisions/test_ratelimit.py
@@ -11,7 +11,7 @@
     LimitRow,
     RateLimits,
 )
-from godwitlanding.tests.decisions.ratelimit_world import REGIONS, UPSTREAM, World
+from godwitlanding.tests.decisions.ratelimit_simulation import REGIONS, UPSTREAM, World
 
 # The users' rule: from the first time on, in any window.
 SETTLE_S = 4.0
@@ -117,7 +117,7 @@
 
 def test_other_regions_leave_limited_upstreams_to_their_own():
     limits = make_limits("b")
-    limits.hear_region("a", (LimitedUpstream(UPSTREAM, 2.0),), 0.0)
+    limits.receive_region_limits("a", (LimitedUpstream(UPSTREAM, 2.0),), 0.0)
     assert not limits.may_send(UPSTREAM, 2.0)
     # Its VMs are lost or cut off: each other region has half.
     limits.update(1.0, True, FAR_SILENT_S + 0.1)
@@ -132,9 +132,9 @@
 def test_other_regions_learn_that_a_limit_is_gone():
     limits = make_limits("b")
     limits.note_answer(UPSTREAM, "a", 2.0, 0.0)
-    limits.hear_region("a", (), 0.5)
+    limits.receive_region_limits("a", (), 0.5)
     assert not limits.may_send(UPSTREAM, 0.5)
-    limits.hear_region("a", (), FAR_SETTLE_S + 0.1)
+    limits.receive_region_limits("a", (), FAR_SETTLE_S + 0.1)
     assert limits.may_send(UPSTREAM, FAR_SETTLE_S + 0.1)
 
 
@@ -183,5 +183,5 @@
 
 def test_limit_is_scarce_for_those_who_leave_it_to_others():
     limits = make_limits("b")
-    limits.hear_region("a", (LimitedUpstream(UPSTREAM, 50.0),), 0.0)
+    limits.receive_region_limits("a", (LimitedUpstream(UPSTREAM, 50.0),), 0.0)
     assert limits.is_scarce(UPSTREAM, 2.0)
--- a/godwitlanding/tests/decisions/test_quorum.py
+++ b/godwitlanding/tests/decisions/test_reachability.py
@@ -3,7 +3,7 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from godwitlanding.decisions.quorum import HOLD_S, QUIET_S, Quorum
+from godwitlanding.decisions.reachability import HOLD_S, QUIET_S, Reachability
 
 NAMES = [f"vm-{number}" for number in range(8)]
 
@@ -26,14 +26,14 @@
 def test_share_is_that_of_the_vms_that_are_heard(heard, carries, silent_s, share):
     # A cut divides four VMs of a region. Those that no longer hear the others
     # go on with their own share of what the region may send.
-    quorum = Quorum()
+    quorum = Reachability()
     hear(quorum, NAMES[:3], 0.0, carries)
     hear(quorum, NAMES[:heard], silent_s, carries)
     assert quorum.get_share(set(NAMES[:3]), True, silent_s) == share
 
 
 def test_vm_that_says_that_it_leaves_is_not_missed():
-    quorum = Quorum()
+    quorum = Reachability()
     hear(quorum, NAMES[:3], 0.0)
     hear(quorum, NAMES[:1], 0.1, carries=False)
     hear(quorum, NAMES[1:3], 1.0)
@@ -42,7 +42,7 @@
 
 def test_one_that_hears_few_believes_those_that_hear_all():
     # A VM that carries nothing is told by those that carry alone.
-    quorum = Quorum()
+    quorum = Reachability()
     hear(quorum, NAMES[:2], 0.0, heard=8)
     assert quorum.get_share(set(NAMES[:7]), False, 0.0) == 1.0
 
@@ -56,7 +56,7 @@
         for side in set(sides):
             members = [name for name, of in zip(NAMES, sides) if of == side]
             own = members[0]
-            quorum = Quorum()
+            quorum = Reachability()
             others = set(NAMES) - {own}
             hear(quorum, others, 0.0, heard=8)
             now = 0.0
--- a/godwitlanding/tests/decisions/test_audience.py
+++ b/godwitlanding/tests/decisions/test_recipients.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from godwitlanding.decisions.audience import (
+from godwitlanding.decisions.fleet import IDLE_SILENT_S, PEER_TIMEOUT_S
+from godwitlanding.decisions.recipients import (
     IDLE_ROUND,
-    STATE_PAUSE_S,
+    STATE_INTERVAL_S,
     is_active,
-    pick_listeners,
+    pick_recipients,
 )
-from godwitlanding.decisions.fleet import IDLE_SILENT_S, SILENT_S
 
 REGION = {f"host-{number}" for number in range(64)}
 ACTIVE = {f"host-{number}" for number in range(9)}
@@ -29,14 +29,14 @@
 
 
 def test_active_vm_tells_everybody_each_time():
-    assert set(pick_listeners(True, REGION, ACTIVE, 7)) == REGION
+    assert set(pick_recipients(True, REGION, ACTIVE, 7)) == REGION
 
 
 def test_idle_vm_tells_each_active_one_once_in_a_round():
     told = [
         host
         for turn in range(IDLE_ROUND)
-        for host in pick_listeners(False, REGION, ACTIVE, turn)
+        for host in pick_recipients(False, REGION, ACTIVE, turn)
     ]
     assert sorted(told) == sorted(ACTIVE)
 
@@ -44,14 +44,14 @@
 def test_three_words_in_a_row_may_be_lost():
     # Every tenth datagram is lost. A VM that is taken for dead after one or
     # two of them is out of every answer of the directory for nothing.
-    assert SILENT_S > 3 * STATE_PAUSE_S
-    assert IDLE_SILENT_S > 3 * IDLE_ROUND * STATE_PAUSE_S
+    assert PEER_TIMEOUT_S > 3 * STATE_INTERVAL_S
+    assert IDLE_SILENT_S > 3 * IDLE_ROUND * STATE_INTERVAL_S
 
 
 @pytest.mark.parametrize("vms", [12, 65, 200, 2000])
 def test_what_an_idle_vm_sends_does_not_grow_with_the_region(vms):
     region = {f"host-{number}" for number in range(vms)}
     sent = sum(
-        len(pick_listeners(False, region, ACTIVE, turn)) for turn in range(IDLE_ROUND)
+        len(pick_recipients(False, region, ACTIVE, turn)) for turn in range(IDLE_ROUND)
     )
-    assert sent / (IDLE_ROUND * STATE_PAUSE_S) < 6
+    assert sent / (IDLE_ROUND * STATE_INTERVAL_S) < 6
--- a/godwitlanding/tests/decisions/test_regionshare.py
+++ b/godwitlanding/tests/decisions/test_regionshare.py
@@ -3,11 +3,11 @@
 import pytest
 
 from godwitlanding.decisions.regionshare import (
-    FULL,
     MAX_STEP_PER_S,
-    RegionDealer,
+    MAX_UTILIZATION,
     RegionLoad,
-    get_known_share,
+    RegionSelector,
+    get_cacheable_share,
     get_shares,
     step,
 )
@@ -49,7 +49,7 @@
         get_shares(region, loads).get("c", 0.0) * loads[region].arrivals_per_s
         for region in ("a", "b")
     )
-    assert sent <= FULL * 100 - 40 + 1e-9
+    assert sent <= MAX_UTILIZATION * 100 - 40 + 1e-9
 
 
 def test_shares_move_no_faster_than_allowed():
@@ -66,7 +66,7 @@
 
 
 def test_dealer_keeps_an_object_to_its_region():
-    dealer = RegionDealer("a")
+    dealer = RegionSelector("a")
     shares = {"b": 0.3, "c": 0.1}
     region_by_key = {str(n): dealer.pick(shares, str(n)) for n in range(1000)}
     for key, region in region_by_key.items():
@@ -81,7 +81,7 @@
 
 
 def test_dealer_spreads_what_has_no_object_evenly():
-    dealer = RegionDealer("a")
+    dealer = RegionSelector("a")
     regions = [dealer.pick({"b": 0.25}, "") for _ in range(40)]
     assert all(regions[n : n + 4].count("b") == 1 for n in range(0, 40, 4))
 
@@ -90,4 +90,4 @@
     ("upstreams", "objects", "expected"), [(2, 0, 1.0), (2, 80, 0.35), (12, 62, 1.0)]
 )
 def test_region_serves_no_more_objects_than_it_remembers(upstreams, objects, expected):
-    assert get_known_share(upstreams, objects) == expected
+    assert get_cacheable_share(upstreams, objects) == expected
--- a/godwitlanding/tests/decisions/test_lapse.py
+++ b/godwitlanding/tests/decisions/test_removalguard.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from godwitlanding.decisions.lapse import (
-    BACK_WITHIN_S,
+from godwitlanding.decisions.removalguard import (
     GONE_MEMORY_S,
-    RETURNED_S,
-    LapseGuard,
+    REWRITE_WITHIN_S,
+    STALE_ENTRY_TTL_S,
+    RemovalGuard,
 )
 
 
@@ -23,21 +23,21 @@
 def test_removal_is_held_while_its_writer_may_not_have_written_again(
     expires, lost_s, is_restored, is_held
 ):
-    guard = LapseGuard(expires)
-    guard.note_lost(10.0)
+    guard = RemovalGuard(expires)
+    guard.note_store_lost(10.0)
     now = 10.0 + lost_s
-    guard.note_answer(now)
+    guard.note_store_answer(now)
     if is_restored:
         guard.note_restored(now)
     assert guard.remove("a", now) is not is_held
-    assert guard.take_due(now + BACK_WITHIN_S) == (["a"] if is_held else [])
+    assert guard.take_due_removals(now + REWRITE_WITHIN_S) == (["a"] if is_held else [])
 
 
 @pytest.mark.parametrize(
     ("expires", "gone_s", "waited_s", "is_doubted"),
     [
         pytest.param(True, 3.0, 0.0, True, id="gone before the copy came back"),
-        pytest.param(True, 3.0, RETURNED_S, False, id="still listed later"),
+        pytest.param(True, 3.0, STALE_ENTRY_TTL_S, False, id="still listed later"),
         pytest.param(False, 3.0, 0.0, False, id="does not expire"),
         pytest.param(True, None, 0.0, False, id="was never gone"),
     ],
@@ -45,18 +45,18 @@
 def test_entry_that_a_copy_has_brought_back_is_doubted_until_it_would_expire(
     expires, gone_s, waited_s, is_doubted
 ):
-    guard = LapseGuard(expires)
+    guard = RemovalGuard(expires)
     if gone_s is not None:
-        guard.note_gone("a", 100.0 - gone_s)
-    assert not guard.doubts_return("a", 100.0)
+        guard.note_removed("a", 100.0 - gone_s)
+    assert not guard.is_reappearance_suspect("a", 100.0)
     guard.note_restored(100.0)
-    assert guard.doubts_return("a", 100.0 + waited_s) is is_doubted
+    assert guard.is_reappearance_suspect("a", 100.0 + waited_s) is is_doubted
 
 
 def test_what_is_gone_for_long_is_forgotten():
-    guard = LapseGuard()
-    guard.note_gone("a", 0.0)
-    guard.note_gone("b", GONE_MEMORY_S + 1.0)
+    guard = RemovalGuard()
+    guard.note_removed("a", 0.0)
+    guard.note_removed("b", GONE_MEMORY_S + 1.0)
     guard.note_restored(GONE_MEMORY_S + 1.0)
-    assert not guard.doubts_return("a", GONE_MEMORY_S + 1.0)
-    assert guard.doubts_return("b", GONE_MEMORY_S + 1.0)
+    assert not guard.is_reappearance_suspect("a", GONE_MEMORY_S + 1.0)
+    assert guard.is_reappearance_suspect("b", GONE_MEMORY_S + 1.0)
--- a/godwitlanding/tests/decisions/test_reading.py
+++ b/godwitlanding/tests/decisions/test_storereaders.py
@@ -3,20 +3,20 @@
 import pytest
 
 from godwitlanding.decisions.fleet import Capacity
-from godwitlanding.decisions.reading import (
+from godwitlanding.decisions.storereaders import (
     NOBODY_S,
     NOBODY_STEP_S,
     READERS,
     Neighbour,
     choose_source,
-    get_order,
-    may_rest,
+    may_stop_reading,
+    rank_readers,
     should_read,
 )
 from godwitlanding.tests.support_fleet import make_peer
 
 VMS = [f"vm-{number}" for number in range(6)]
-ORDER = get_order([make_peer(vm) for vm in VMS])
+ORDER = rank_readers([make_peer(vm) for vm in VMS])
 
 
 def make_neighbours(own, reading=(), failed=()):
@@ -45,7 +45,7 @@
 def test_strong_vms_read_first():
     weak = [make_peer(f"weak-{n}", capacity=Capacity(5.0, 0.4)) for n in range(9)]
     strong = [make_peer(f"strong-{n}") for n in range(3)]
-    order = get_order(weak + strong)
+    order = rank_readers(weak + strong)
     assert {vm.partition("-")[0] for vm in order[:3]} == {"strong"}
     assert len(order) == 12
 
@@ -85,7 +85,7 @@
     # or its neighbours would have no source in between.
     own = Neighbour(ORDER[3], True, False)
     neighbours = make_neighbours(own.vm, reading=ORDER[:others])
-    assert may_rest(own, ORDER, neighbours) is rests
+    assert may_stop_reading(own, ORDER, neighbours) is rests
 
 
 # The present source, those that read, names elsewhere, and what is chosen.
--- a/godwitlanding/tests/gateway/test_mirror.py
+++ b/godwitlanding/tests/gateway/test_mirror.py
@@ -13,7 +13,11 @@
     WatchEvent,
     make_version,
 )
-from godwitlanding.decisions.lapse import BACK_WITHIN_S, RETURNED_S, LapseGuard
+from godwitlanding.decisions.removalguard import (
+    REWRITE_WITHIN_S,
+    STALE_ENTRY_TTL_S,
+    RemovalGuard,
+)
 from godwitlanding.gateway.changeset import ChangeSet
 from godwitlanding.gateway.mirror import Mirror
 
@@ -168,7 +172,7 @@
     # entries expire. If the removals were applied at once, every upstream
     # would be unused when the store returns.
     steps = make_outage_steps()
-    held, _ = await follow(4.5, *steps, guard=LapseGuard())
+    held, _ = await follow(4.5, *steps, guard=RemovalGuard())
     assert held == {"a": b"v", "b": b"v"}
 
 
@@ -176,8 +180,8 @@
     # The upstream stopped during the outage. If its entry were kept longer,
     # its address might belong to an upstream of another service by then.
     steps = make_outage_steps()
-    steps.append(delayed_step(BACK_WITHIN_S + 0.1, watch_step(9)))
-    held, _ = await follow(8, *steps, guard=LapseGuard())
+    steps.append(delayed_step(REWRITE_WITHIN_S + 0.1, watch_step(9)))
+    held, _ = await follow(8, *steps, guard=RemovalGuard())
     assert held == {"a": b"v"}
 
 
@@ -375,10 +379,10 @@
             make_object("gone", restored_version(3)),
             make_object("a", 2),
         ),
-        guard=LapseGuard(),
+        guard=RemovalGuard(),
     )
     mirror.follow()
-    await asyncio.sleep(RETURNED_S - 0.1)
+    await asyncio.sleep(STALE_ENTRY_TTL_S - 0.1)
     assert set(held) == {"a"}
     # The entry would have expired by now if the upstream did not renew it.
     await asyncio.sleep(1.0)
@@ -387,7 +391,7 @@
 
 
 async def test_entry_written_after_a_restoration_is_used_at_once():
-    mirror, _, held = make_mirror(guard=LapseGuard())
+    mirror, _, held = make_mirror(guard=RemovalGuard())
     mirror.apply_change_set(full_change_set(8, make_object("back", 3)))
     mirror.apply_change_set(full_change_set(9))
     assert not held
@@ -419,7 +423,7 @@
             ),
         ),
         delayed_step(5, watch_step(restored_version(5))),
-        guard=LapseGuard(expires),
+        guard=RemovalGuard(expires),
     )
     missing = []
     mirror.follow()
@@ -433,7 +437,7 @@
 
 
 async def test_object_is_not_confirmed_until_the_restored_store_has_it():
-    mirror, _, _ = make_mirror(guard=LapseGuard(expires=False))
+    mirror, _, _ = make_mirror(guard=RemovalGuard(expires=False))
     mirror.apply_change_set(full_change_set(8, make_object("own", 8)))
     assert mirror.get_confirmed("own")
     other = make_object("other", restored_version(3))
--- a/godwitlanding/tests/gateway/test_mirror_states.py
+++ b/godwitlanding/tests/gateway/test_mirror_states.py
@@ -21,7 +21,7 @@
     get_revision,
     make_version,
 )
-from godwitlanding.decisions.lapse import RETURNED_S, LapseGuard
+from godwitlanding.decisions.removalguard import STALE_ENTRY_TTL_S, RemovalGuard
 from godwitlanding.gateway.mirror import MAX_BACKOFF_S, WATCH_TIMEOUT_S, Mirror
 
 pytestmark = pytest.mark.looptime
@@ -30,7 +30,7 @@
 NAMES = "abcde"
 STEPS = 40
 # The longest time that a mirror may take to detect the last event.
-SETTLE_S = WATCH_TIMEOUT_S + MAX_BACKOFF_S + RETURNED_S + 1.0
+SETTLE_S = WATCH_TIMEOUT_S + MAX_BACKOFF_S + STALE_ENTRY_TTL_S + 1.0
 POLL_S = 0.05
 
 
@@ -148,8 +148,8 @@
 @pytest.mark.parametrize("seed", range(40))
 async def test_mirrors_converge_to_the_store(seed, expires):
     store = ModelStore()
-    reading, held = make_mirror(store, LapseGuard(expires))
-    fed, fed_held = make_mirror(None, LapseGuard(expires))
+    reading, held = make_mirror(store, RemovalGuard(expires))
+    fed, fed_held = make_mirror(None, RemovalGuard(expires))
     reading.on_change.append(lambda _, change_set: fed.apply_change_set(change_set))
     reading.follow()
     await run_history(random.Random(seed), store)
--- a/godwitlanding/tests/gateway/test_peers.py
+++ b/godwitlanding/tests/gateway/test_peers.py
@@ -15,7 +15,7 @@
     Digests,
     make_digest,
 )
-from godwitlanding.decisions.fleet import SILENT_S, Capacity, Fleet
+from godwitlanding.decisions.fleet import PEER_TIMEOUT_S, Capacity, Fleet
 from godwitlanding.decisions.objectmap import CacheEntry, ObjectMap
 from godwitlanding.decisions.occupancy import Occupancy
 from godwitlanding.gateway.allotmentgossip import AllotmentGossip
@@ -164,7 +164,7 @@
             harness.receive_from_strong(3, sequence=sequence)
             sent = await harness.count_sent(1.0)
         assert "10.0.0.2" not in sent
-        await asyncio.sleep(SILENT_S)
+        await asyncio.sleep(PEER_TIMEOUT_S)
         sent = await harness.count_sent(1.0)
         assert sent["10.0.0.2"] >= 2
         assert harness.transport.sent[-1][1].active
--- a/godwitlanding/tests/gateway/test_sourceselector.py
+++ b/godwitlanding/tests/gateway/test_sourceselector.py
@@ -7,7 +7,7 @@
 
 from godwitlanding.decisions.digest import Digest, Digests
 from godwitlanding.decisions.fleet import Fleet
-from godwitlanding.decisions.reading import BEHIND_S, START_WAIT_S, get_order
+from godwitlanding.decisions.storereaders import BEHIND_S, START_WAIT_S, get_order
 from godwitlanding.gateway.sourceselector import CHECK_INTERVAL_S, SourceSelector
 from godwitlanding.tests.support_fleet import CAPACITY, make_gossip_message, make_peer
 
--- a/godwitlanding/tests/gateway/test_store_restored.py
+++ b/godwitlanding/tests/gateway/test_store_restored.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from godwitlanding.decisions.lapse import BACK_WITHIN_S
+from godwitlanding.decisions.removalguard import REWRITE_WITHIN_S
 from godwitlanding.tests.gateway.world import World, make_config
 
 # Time in which a change has to be in force.
@@ -128,7 +128,7 @@
     for number in range(60):
         await world.ask(world.vms[number % 3], f"/look/{number}")
     await world.store.put("evacuations", evacuated.zone, {})
-    await asyncio.sleep(BACK_WITHIN_S)
+    await asyncio.sleep(REWRITE_WITHIN_S)
     for number in range(10):
         await world.ask(world.vms[0], f"/look/{number}")
     assert not evacuated.ran
--- a/godwitlanding/tests/load/allotment_ways.py
+++ b/godwitlanding/tests/load/allotment_ways.py
@@ -44,13 +44,13 @@
     def hear(self, vm, incarnation, told, now):
         tallies, levels = told
         self._held.hear(vm, incarnation, tallies, now, tells_all=True)
-        self._held.learn(levels, now)
+        self._held.adopt_levels(levels, now)
 
     def digest(self):
         return self._held.get_asked()
 
-    def hear_region(self, region, told, now):
-        self._held.hear_region(region, told, now)
+    def receive_region_demand(self, region, told, now):
+        self._held.receive_region_demand(region, told, now)
 
     def update(self, quorum, now):
         self._held.update(quorum, now)
@@ -86,7 +86,7 @@
 
     def take(self, now):
         workspace = self._workspace
-        capacity = workspace.burst + TOLERANCE.get_spare(workspace)
+        capacity = workspace.burst + TOLERANCE.get_extra_burst(workspace)
         part_per_s = workspace.rate_per_s / self._vms
         return self._bucket.take(now, part_per_s, capacity / self._vms)
 
@@ -99,7 +99,7 @@
     def digest(self):
         return ()
 
-    def hear_region(self, region, told, now):
+    def receive_region_demand(self, region, told, now):
         pass
 
     def update(self, quorum, now):
@@ -122,7 +122,7 @@
         parts = share_fairly(workspace.rate_per_s, self._asked_by_vm)
         part_per_s = parts[self._place.vm]
         capacity = workspace.burst * part_per_s / workspace.rate_per_s
-        capacity += TOLERANCE.get_spare(workspace) / self._vms
+        capacity += TOLERANCE.get_extra_burst(workspace) / self._vms
         return self._bucket.take(now, part_per_s, capacity)
 
     def tell(self, now):
@@ -139,7 +139,7 @@
             if self._place.region_by_vm[vm] == region
         }
 
-    def hear_region(self, region, told, now):
+    def receive_region_demand(self, region, told, now):
         self._asked_by_vm.update(told)
 
     def update(self, quorum, now):
--- a/godwitlanding/tests/load/allotment_world.py
+++ b/godwitlanding/tests/load/allotment_world.py
@@ -11,7 +11,7 @@
 import random
 from typing import NamedTuple
 
-from godwitlanding.decisions.quorum import Quorum
+from godwitlanding.decisions.reachability import Reachability
 from godwitlanding.decisions.routes import Workspace
 from godwitlanding.tests.load.allotment_ways import TOLERANCE, Place
 
@@ -78,11 +78,11 @@
         self.incarnation = 0
         self.up = True
         self.way = make(0.0)
-        self.quorum = Quorum()
+        self.quorum = Reachability()
 
     def restart(self, now):
         self.incarnation += 1
-        self.quorum = Quorum()
+        self.quorum = Reachability()
         self.up = True
         self.way = self.make(now)
 
@@ -215,7 +215,7 @@
 
     def _hear_region(self, now, vm, region, told):
         if vm.up and told:
-            vm.way.hear_region(region, told, now)
+            vm.way.receive_region_demand(region, told, now)
 
     def _update(self, now, vm):
         self._at(now + UPDATE_S, self._update, vm)
--- a/godwitlanding/tests/support_fleet.py
+++ b/godwitlanding/tests/support_fleet.py
@@ -45,7 +45,7 @@
         reads=False,
         failed=False,
         changed_at=(),
-        heard_at=0.0,
+        received_at=0.0,
     )
     return peer._replace(**changes)
 
