--- a/godwitlanding/gateway/admission.py
+++ b/godwitlanding/gateway/admission.py
@@ -41,7 +41,7 @@
     retry_after_s: float = 0.0
 
 
-class Reach(NamedTuple):
+class ConfigFreshness(NamedTuple):
     """Tells whether changes of the configuration reach this VM."""
 
     # Whether no version newer than the one in force can have been missed.
--- a/godwitlanding/gateway/carrier.py
+++ b/godwitlanding/gateway/requesthandler.py
@@ -21,7 +21,7 @@
 _ASK_FOR_KEY = ((b"www-authenticate", b"Bearer"),)
 
 
-class Carrier(Service):
+class RequestHandler(Service):
     """Takes requests from callers' connections and answers each once."""
 
     name = "carrier"
@@ -38,7 +38,7 @@
         self._admission = None
         self._chooser = None
         self._courier = None
-        self.get_vms = lambda: 1
+        self.get_vm_count = lambda: 1
 
     async def start(self, kernel):
         """Learn where the other services are."""
@@ -149,7 +149,7 @@
         if last[0] is Outcome.UNREACHED:
             # Nothing arrived, so nothing is repeated.
             return True
-        if self._budget.take(work.service, self.get_vms(), now):
+        if self._budget.take(work.service, self.get_vm_count(), now):
             self._counters.add("retries", reason=last[0].name)
             return True
         self._counters.add("retries_denied", reason=last[0].name)
@@ -158,7 +158,7 @@
             request=work.request_id.decode("latin-1"),
             service=work.service,
             reason=last[0].name,
-            vms=self.get_vms(),
+            vms=self.get_vm_count(),
         )
         return False
 
@@ -257,7 +257,7 @@
             to_target_s=round(rejection.to_target_s, 3),
             came_back=work.came_back,
             config=self._registry.config.version,
-            vms=self.get_vms(),
+            vms=self.get_vm_count(),
             **fields,
         )
 
--- a/godwitlanding/gateway/upstream.py
+++ b/godwitlanding/gateway/upstream.py
@@ -54,7 +54,7 @@
         self.failure = failure
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """An upstream's answer; ``body`` is whole unless ``is_stream``."""
 
     status: int
@@ -224,7 +224,7 @@
         body = b"".join(self._chunks)
         self._chunks = []
         if not waiter.done():
-            waiter.set_result(Answer(self._status, self._headers, body, True))
+            waiter.set_result(Response(self._status, self._headers, body, True))
 
     def _complete(self):
         self._whole = True
@@ -245,7 +245,7 @@
             waiter.set_exception(UpstreamError(Failure.GARBAGE, "no request id"))
             return
         body = b"".join(self._chunks)
-        waiter.set_result(Answer(self._status, self._headers, body, False))
+        waiter.set_result(Response(self._status, self._headers, body, False))
 
     def _fail(self, failure, detail):
         if self._sink and self._streaming:
--- a/godwitlanding/gateway/courier.py
+++ b/godwitlanding/gateway/upstreamclient.py
@@ -28,7 +28,7 @@
 _RAN = frozenset((Outcome.ANSWERED, Outcome.FAILED))
 
 
-class Courier(Service):
+class UpstreamClient(Service):
     """Connections, attempts, and upstreams that cannot be reached."""
 
     name = "courier"
--- a/godwitlanding/platform/headers.py
+++ b/godwitlanding/platform/headers.py
@@ -4,7 +4,7 @@
 
 from eliot import log_message
 
-from godwitlanding.gateway.dialect import HeaderNames, SelfReport
+from godwitlanding.gateway.headers import HeaderNames, SelfReport
 
 HEADER_NAMES = HeaderNames(
     request_id=b"godwitlanding-request-id",
--- a/godwitlanding/program.py
+++ b/godwitlanding/program.py
@@ -22,11 +22,9 @@
 from godwitlanding.decisions.removalguard import RemovalGuard
 from godwitlanding.decisions.retrybudget import RetryBudget
 from godwitlanding.decisions.worktime import WorkTimes
-from godwitlanding.gateway.admission import Admission, Reach
+from godwitlanding.gateway.admission import Admission, ConfigFreshness
 from godwitlanding.gateway.allotmentgossip import AllotmentGossip
-from godwitlanding.gateway.carrier import Carrier
 from godwitlanding.gateway.chooser import Chooser
-from godwitlanding.gateway.courier import Courier
 from godwitlanding.gateway.directory import Directory
 from godwitlanding.gateway.feed import Feed
 from godwitlanding.gateway.front import Front
@@ -36,9 +34,11 @@
 from godwitlanding.gateway.peers import Peers
 from godwitlanding.gateway.presence import Presence
 from godwitlanding.gateway.registry import Registry
+from godwitlanding.gateway.requesthandler import RequestHandler
 from godwitlanding.gateway.savedobjectmap import SavedObjectMap
 from godwitlanding.gateway.sourceselector import SourceSelector
 from godwitlanding.gateway.upstream import UpstreamPool
+from godwitlanding.gateway.upstreamclient import UpstreamClient
 from godwitlanding.gateway.workspacegauges import WorkspaceGauges
 from godwitlanding.platform.endpoints import make_directory, make_readiness
 from godwitlanding.platform.headers import HEADER_NAMES, read_self_report
@@ -124,7 +124,7 @@
             self.limits,
         )
         pool = pool or UpstreamPool(HEADER_NAMES.request_id, counters)
-        self.courier = Courier(
+        self.courier = UpstreamClient(
             HEADER_NAMES,
             read_self_report,
             pool,
@@ -138,12 +138,12 @@
             HEADER_NAMES,
             self.budget,
             self.allotments,
-            Reach(self._is_config_fresh, self._may_trust_keys),
+            ConfigFreshness(self._is_config_fresh, self._may_trust_keys),
         )
-        self.carrier = Carrier(
+        self.carrier = RequestHandler(
             HEADER_NAMES, self.budget, self.poison, self.allotments, counters
         )
-        self.carrier.get_vms = self.peers.count_vms
+        self.carrier.get_vm_count = self.peers.count_vms
         self._now = loop.time
         self.vm_mirror = self._make_mirror(
             VM_KIND,
--- a/godwitlanding/tests/gateway/test_chooser.py
+++ b/godwitlanding/tests/gateway/test_chooser.py
@@ -51,7 +51,7 @@
     )
 
 
-def make_work(key="k", route=None, came_back=False):
+def make_request(key="k", route=None, came_back=False):
     now = asyncio.get_running_loop().time()
     return Work(
         request_id=b"r1",
@@ -120,7 +120,7 @@
 
     def choose(self, work=None, tried=()):
         now = asyncio.get_running_loop().time()
-        return self.chooser.choose(work or make_work(), set(tried), now)
+        return self.chooser.choose(work or make_request(), set(tried), now)
 
     def fill(self, upstream, count):
         for _ in range(count):
@@ -146,7 +146,7 @@
     assert COLD_PER_S - 1 <= sum(sent.values()) <= COLD_PER_S + 1
 
 
-async def test_evacuated_zone_is_cold_when_it_is_taken_back():
+async def test_zone_is_cold_after_its_evacuation_ends():
     # A zone had no work for a while. Its entries say only with their next
     # heartbeat that it is cold, and the first second would crash it.
     async with Setting(WARM) as setting:
@@ -155,7 +155,7 @@
         setting.registry.set_evacuated("a1", False)
         sent = 0
         for _ in range(100):
-            sent += not isinstance(setting.choose(make_work(key="")), Rejection)
+            sent += not isinstance(setting.choose(make_request(key="")), Rejection)
             await asyncio.sleep(0.01)
         assert sent <= (COLD_PER_S + 1) * len(WARM)
 
@@ -164,7 +164,7 @@
     ("allowed", "expected"),
     [((), {"u0", "far"}), (("a",), {"u0"}), (("b",), {"far"}), (("c",), set())],
 )
-async def test_route_keeps_to_its_regions(allowed, expected):
+async def test_route_is_limited_to_its_allowed_regions(allowed, expected):
     # A route may be served in some regions only, also while those are full.
     upstreams = [("u0", "a1", 0.0), ("far", "b1", 0.0)]
     async with Setting(upstreams) as setting:
@@ -172,43 +172,43 @@
         for filled in (0, 9):
             setting.fill("u0", filled)
             for number in range(20):
-                work = make_work(str(number), make_route(allowed))
+                work = make_request(str(number), make_route(allowed))
                 choice = setting.choose(work)
                 if not isinstance(choice, Rejection):
                     seen.add(choice.upstream.id)
         assert seen <= expected
 
 
-async def test_full_home_does_not_send_the_region_away():
+async def test_full_home_moves_few_requests_to_another_region():
     # An object's home is full. Sent wherever there is room, callers would
     # change the region that serves them within a second.
     upstreams = [*WARM, *((f"f{n}", "b1", 0.0) for n in range(4))]
     async with Setting(upstreams, rates={"a": 1.0, "b": 1.0}) as setting:
         for number in range(200):
-            choice = setting.choose(make_work(str(number % 20)))
+            choice = setting.choose(make_request(str(number % 20)))
             assert choice.upstream.id.startswith("u")
         await asyncio.sleep(WINDOW_S)
         for name, _, _ in WARM:
             setting.fill(name, 20)
         far = 0
         for number in range(1000):
-            choice = setting.choose(make_work(str(number % 20)))
+            choice = setting.choose(make_request(str(number % 20)))
             far += not isinstance(choice, Rejection)
         assert far <= 1000 * OVERFLOW_SHARE * 1.5
 
 
-async def test_lost_region_is_served_elsewhere():
+async def test_region_without_upstreams_is_served_by_another_region():
     # Every upstream of the region is gone: then the rest goes elsewhere at
     # once, however many callers that moves.
     async with Setting([*WARM, ("far", "b1", 0.0)]) as setting:
         for name, _, _ in WARM:
             setting.registry.remove_upstream(name)
         for number in range(50):
-            choice = setting.choose(make_work(str(number)))
+            choice = setting.choose(make_request(str(number)))
             assert choice.upstream.id == "far"
 
 
-async def test_object_keeps_to_its_home_and_leaves_it_when_it_is_slow():
+async def test_object_stays_on_its_home_unless_that_was_tried_or_ejected():
     async with Setting(WARM) as setting:
         home = setting.choose().upstream.id
         assert {setting.choose().upstream.id for _ in range(20)} == {home}
@@ -217,11 +217,11 @@
         assert setting.choose().upstream.id != home
 
 
-async def test_rejection_tells_what_decided_it():
+async def test_rejection_contains_its_reason():
     async with Setting([("u0", "a1", 0.0)]) as setting:
         setting.fill("u0", 6)
         now = asyncio.get_running_loop().time()
-        rejection = setting.choose(make_work()._replace(target_at=now + 0.2))
+        rejection = setting.choose(make_request()._replace(target_at=now + 0.2))
         assert rejection.reason == "full"
         assert rejection.placement.candidate.occupied == 6
         assert rejection.to_target_s == pytest.approx(0.2, abs=0.01)
@@ -235,7 +235,7 @@
         pytest.param(0, ("u0",), False, id="it alone sheds"),
     ],
 )
-async def test_upstream_that_shed_at_random_is_asked_again(
+async def test_upstream_that_shed_at_random_is_tried_again(
     in_progress, failing, expected
 ):
     # A service sheds half of its requests whatever it has to do. Another
@@ -256,14 +256,14 @@
     """Send each object once and return its upstream."""
     home_by_key = {}
     for key in keys:
-        home_by_key[key] = setting.choose(make_work(key)).upstream.id
+        home_by_key[key] = setting.choose(make_request(key)).upstream.id
     return home_by_key
 
 
 KEYS = [str(number) for number in range(40)]
 
 
-async def test_objects_stay_when_an_upstream_joins():
+async def test_new_upstream_gets_one_object_at_first():
     # Upstreams join a service. Each object whose order the new one heads
     # would be learnt there at once, and each of these answers would be late.
     async with Setting(WARM) as setting:
@@ -277,10 +277,10 @@
             if home != home_by_key[key]
         ]
         assert len(moved) == 1
-        assert setting.choose(make_work(moved[0])).upstream.id == "new"
+        assert setting.choose(make_request(moved[0])).upstream.id == "new"
 
 
-async def test_object_goes_where_a_peer_has_sent_it():
+async def test_object_goes_to_the_upstream_that_a_peer_reported():
     # Two VMs meet the same object within a moment and choose on their own.
     # Without the other's word both upstreams would learn it.
     async with Setting(WARM) as setting:
@@ -289,10 +289,10 @@
             name = WARM[number % len(WARM)][0]
             cache_entry = CacheEntry(numbers[name], get_object_number("s", key))
             setting.object_map.hear(cache_entry, 0.0)
-            assert setting.choose(make_work(key)).upstream.id == name
+            assert setting.choose(make_request(key)).upstream.id == name
 
 
-async def test_objects_are_dealt_evenly():
+async def test_objects_are_distributed_evenly():
     # By hashing alone one upstream in four gets twice its part of the objects
     # and is full while the others are idle.
     async with Setting(WARM) as setting:
@@ -300,7 +300,7 @@
         assert max(counts.values()) <= 1.3 * len(KEYS) / len(WARM)
 
 
-async def test_full_home_gives_few_objects_away_at_once():
+async def test_full_home_gives_up_few_objects_at_once():
     # One upstream is full. Its objects may be learnt elsewhere, but each that
     # moves is a late answer; not all of them at once.
     async with Setting(WARM) as setting:
@@ -310,13 +310,13 @@
         objects = [key for key, home in home_by_key.items() if home == full]
         moved = set()
         for number in range(60):
-            choice = setting.choose(make_work(objects[number % len(objects)]))
+            choice = setting.choose(make_request(objects[number % len(objects)]))
             if not isinstance(choice, Rejection) and choice.upstream.id != full:
                 moved.add(objects[number % len(objects)])
         assert 1 <= len(moved) <= 4
 
 
-async def test_region_whose_upstreams_cannot_be_reached_is_served_elsewhere():
+async def test_region_with_unreachable_upstreams_is_served_by_another_region():
     # The region's upstreams stand in the list and cannot be reached. Its
     # callers go where their objects are known, all of them at once.
     upstreams = [*WARM, ("far", "b1", 0.0)]
@@ -348,13 +348,13 @@
         for number, key in enumerate(moved):
             far = numbers[f"f{number % 4}"]
             setting.object_map.hear(CacheEntry(far, get_object_number("s", key)), 0.0)
-        choices = [setting.choose(make_work(key)) for key in moved]
+        choices = [setting.choose(make_request(key)) for key in moved]
         assert not any(isinstance(choice, Rejection) for choice in choices)
         far = sum(choice.upstream.id.startswith("f") for choice in choices)
         assert far <= 0.15 * len(moved)
 
 
-async def test_upstream_that_leaves_loses_its_objects_only():
+async def test_removed_upstream_affects_its_own_objects_only():
     async with Setting(WARM) as setting:
         home_by_key = learn(setting, KEYS)
         gone = home_by_key[KEYS[0]]
@@ -363,21 +363,21 @@
             assert home == home_by_key[key] or home_by_key[key] == gone
 
 
-async def test_object_keeps_its_home_when_that_sheds_at_random():
+async def test_object_stays_on_a_home_that_sheds_at_random():
     # A service sheds half of its requests. Were an object taken from each
     # upstream that shed its first request, all of them would learn it.
     async with Setting(WARM) as setting:
-        work = make_work("k")
+        work = make_request("k")
         home = setting.choose(work).upstream.id
         setting.choose(work, tried=[home])
         assert setting.choose(work).upstream.id == home
 
 
-async def test_object_that_did_not_reach_its_home_is_learnt_elsewhere():
+async def test_object_that_did_not_reach_its_upstream_gets_another_home():
     # A connection could not be opened. The object is not known there, and
     # taken for known it would be expected to be answered in time.
     async with Setting(WARM) as setting:
-        work = make_work("k")
+        work = make_request("k")
         choice = setting.choose(work)
         setting.chooser.learning.note_unreached(work, choice)
         other = setting.choose(work, tried=[choice.upstream.id]).upstream.id
@@ -385,11 +385,11 @@
 
 
 @pytest.mark.parametrize("key", ["k", ""])
-async def test_upstream_that_left_meanwhile_does_no_harm(key):
+async def test_upstream_removed_during_a_request_causes_no_error(key):
     # An upstream leaves while a request is on its way there. An error here
     # would answer a payment that did not run with "may have run".
     async with Setting(WARM) as setting:
-        work = make_work(key)
+        work = make_request(key)
         choice = setting.choose(work)
         setting.registry.remove_upstream(choice.upstream.id)
         setting.chooser.learning.note_unreached(work, choice)
@@ -398,24 +398,24 @@
 
 
 @pytest.mark.parametrize("slow_s", [0.0, 2.0])
-async def test_time_of_first_runs_is_learnt_where_it_is_short(slow_s):
+async def test_cold_time_is_estimated_when_first_runs_are_fast(slow_s):
     # Objects make no difference to a service, or its upstreams were slow for
     # a moment. Callers with new objects would be refused for good wherever
     # they had to wait a few milliseconds, as if each took half a second.
     async with Setting([("u0", "a1", 0.0)]) as setting:
         for number in range(5 if slow_s else 0):
-            work = make_work(f"slow{number}")
+            work = make_request(f"slow{number}")
             choice = setting.choose(work._replace(answer_by=work.answer_by + 9))
             setting.chooser.learning.note_answer(work, choice, slow_s)
         for number in range(60):
-            work = make_work(f"k{number}")
+            work = make_request(f"k{number}")
             work = work._replace(answer_by=work.answer_by + 9)
             setting.chooser.learning.note_answer(work, setting.choose(work), 0.02)
         setting.fill("u0", 4)
-        assert not isinstance(setting.choose(make_work("new")), Rejection)
+        assert not isinstance(setting.choose(make_request("new")), Rejection)
 
 
-async def test_forgotten_objects_make_no_upstream_slow():
+async def test_evicted_objects_do_not_make_an_upstream_slow():
     # More objects than the upstream remembers come in turn; each run is a
     # first one again. The upstream is as fast as ever, and what it knows is
     # less than was thought.
@@ -424,14 +424,14 @@
             setting.worktimes.note_answer("s", "u0", 0.1, Warmth.WARM, False)
             setting.worktimes.note_answer("s", "u0", 0.4, Warmth.COLD, False)
         for number in range(240):
-            work = make_work(str(number % 12))
+            work = make_request(str(number % 12))
             choice = setting.choose(work)
             setting.chooser.learning.note_answer(work, choice, 0.4)
         assert setting.worktimes.get_factor("u0") < 2.0
         assert setting.chooser.learning.get_remembered("s") < 12
 
 
-async def test_light_request_is_not_refused_for_the_time_of_first_runs():
+async def test_request_without_object_is_not_judged_by_cold_time():
     # Guards against requests refused though upstreams answer them at once.
     async with Setting(WARM) as setting:
         for name, _, _ in WARM:
@@ -439,8 +439,8 @@
                 setting.worktimes.note_answer("s", name, 0.5, Warmth.WARM, False)
                 setting.worktimes.note_answer("s", name, 1.6, Warmth.COLD, False)
                 setting.worktimes.note_answer("s", name, 0.004, Warmth.NO_OBJECT, False)
-        hurried = make_work(key="")._replace(answer_by=0.9, target_at=0.9)
+        hurried = make_request(key="")._replace(answer_by=0.9, target_at=0.9)
         assert not isinstance(setting.choose(hurried), Rejection)
         now = asyncio.get_running_loop().time()
-        patient = make_work()._replace(answer_by=now + 5.0, target_at=now + 3.0)
+        patient = make_request()._replace(answer_by=now + 5.0, target_at=now + 3.0)
         assert setting.choose(patient).finish_s == pytest.approx(1.6, abs=0.1)
--- a/godwitlanding/tests/gateway/test_headers.py
+++ b/godwitlanding/tests/gateway/test_headers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from godwitlanding.gateway.dialect import SelfReport
+from godwitlanding.gateway.headers import SelfReport
 from godwitlanding.platform.headers import read_self_report
 
 
@@ -29,7 +29,7 @@
         (b"server-leaving", b"yes", SelfReport()),
     ],
 )
-def test_headers_say_what_an_upstream_says_of_itself(name, value, report):
+def test_status_headers_are_decoded(name, value, report):
     assert read_self_report(200, [(name, value)]) == report
 
 
@@ -45,5 +45,5 @@
         (429, b"2", None),
     ],
 )
-def test_pause_is_asked_for_where_a_request_is_turned_away(status, value, pause_s):
+def test_retry_after_is_a_pause_only_with_status_503(status, value, pause_s):
     assert read_self_report(status, [(b"retry-after", value)]).pause_s == pause_s
--- a/godwitlanding/tests/gateway/test_limits.py
+++ b/godwitlanding/tests/gateway/test_limits.py
@@ -11,7 +11,7 @@
 from godwitlanding.tests.gateway.test_chooser import (
     WARM,
     Setting as ChooserHarness,
-    make_work,
+    make_request,
 )
 from godwitlanding.tests.gateway.test_peers import PeersHarness
 from godwitlanding.tests.support_fleet import make_peer
@@ -23,7 +23,7 @@
     """Return how often an upstream is chosen, at 20 requests per second."""
     sent = 0
     for number in range(round(20 * seconds)):
-        choice = harness.choose(make_work(key=keys[number % len(keys)]))
+        choice = harness.choose(make_request(key=keys[number % len(keys)]))
         sent += not isinstance(choice, Rejection) and choice.upstream.id == upstream
         await asyncio.sleep(0.05)
     return sent
@@ -34,12 +34,12 @@
     async with ChooserHarness(WARM) as harness:
         keys = [f"k{number}" for number in range(8)]
         for key in keys:
-            harness.choose(make_work(key=key))
-        known = harness.choose(make_work(key=keys[0])).upstream
+            harness.choose(make_request(key=key))
+        known = harness.choose(make_request(key=keys[0])).upstream
         harness.limits.note_answer(known, 2.0)
         refused = 0
         for _ in range(80):
-            refused += isinstance(harness.choose(make_work(key=keys[0])), Rejection)
+            refused += isinstance(harness.choose(make_request(key=keys[0])), Rejection)
             await asyncio.sleep(0.05)
         assert refused == 0
         assert 6 <= await count_sent(harness, known.id, 4.0, keys) <= 10
@@ -47,12 +47,12 @@
 
 async def test_limited_upstream_gets_no_new_objects():
     async with ChooserHarness(WARM) as harness:
-        limited = harness.choose(make_work(key="known")).upstream
+        limited = harness.choose(make_request(key="known")).upstream
         harness.limits.note_answer(limited, 3.0)
         newly_sent = 0
         for number in range(80):
-            harness.choose(make_work(key="known"))
-            choice = harness.choose(make_work(key=f"k{number}"))
+            harness.choose(make_request(key="known"))
+            choice = harness.choose(make_request(key=f"k{number}"))
             newly_sent += choice.upstream == limited
             await asyncio.sleep(0.05)
         assert newly_sent == 0
@@ -77,7 +77,7 @@
             harness.limits.note_answer(upstream, 1.0)
         sent = 0
         for _ in range(100):
-            sent += not isinstance(harness.choose(make_work(key="")), Rejection)
+            sent += not isinstance(harness.choose(make_request(key="")), Rejection)
             await asyncio.sleep(0.05)
         assert 16 <= sent <= 24
 
@@ -95,7 +95,7 @@
             harness.limits.note_answer(upstream, 1.0)
         refused = []
         for number in range(600):
-            choice = harness.choose(make_work(key=""))
+            choice = harness.choose(make_request(key=""))
             if isinstance(choice, Rejection):
                 refused.append(number)
             else:
@@ -224,13 +224,15 @@
         key_by_home = {}
         for number in range(20):
             key = f"k{number}"
-            key_by_home[harness.choose(make_work(key=key)).upstream.id] = key
+            key_by_home[harness.choose(make_request(key=key)).upstream.id] = key
         for upstream in list(harness.registry.upstream_by_id.values()):
             harness.limits.note_answer(upstream, 4.0)
         await asyncio.sleep(1.05)
         for home, key in key_by_home.items():
             for _ in range(4 if home == "u0" else 2):
-                assert harness.choose(make_work(key=key)).upstream.id == home
+                assert harness.choose(make_request(key=key)).upstream.id == home
         assert len(key_by_home) == 4
-        assert isinstance(harness.choose(make_work(key=key_by_home["u0"])), Rejection)
-        assert not isinstance(harness.choose(make_work(key="new")), Rejection)
+        assert isinstance(
+            harness.choose(make_request(key=key_by_home["u0"])), Rejection
+        )
+        assert not isinstance(harness.choose(make_request(key="new")), Rejection)
--- a/godwitlanding/tests/gateway/test_platform_objects.py
+++ b/godwitlanding/tests/gateway/test_platform_objects.py
@@ -52,13 +52,13 @@
     assert upstream.born_ms == ENTRY["born"]
 
 
-def test_entry_without_its_start_is_read():
+def test_entry_without_start_time_is_read():
     entry = {name: value for name, value in ENTRY.items() if name != "born"}
     assert read_upstream("u", entry).born_ms == 0
 
 
 @pytest.mark.parametrize(("field", "value"), CASES)
-def test_foreign_entry_is_no_upstream(field, value):
+def test_invalid_entry_is_rejected(field, value):
     # Another program writes into the same store. Taken for an upstream, its
     # entry would draw callers' requests to an address where nobody answers.
     entry = dict(ENTRY)
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("spec", [None, [], "text", 7, {}], ids=repr)
-def test_foreign_object_is_no_upstream_and_no_vm(spec):
+def test_object_of_another_type_is_rejected(spec):
     with pytest.raises(UNREADABLE):
         read_upstream("u", spec)
     with pytest.raises(UNREADABLE):
@@ -120,14 +120,14 @@
         pytest.param([OFFICE_ROW, ["w", ["k1"], 0, 1, 1, []]], id="shared key"),
     ],
 )
-def test_broken_workspace_is_refused_without_its_key(rows):
+def test_invalid_workspace_error_contains_no_key(rows):
     # An operator's mistake must not let anybody in, nor print a key.
     with pytest.raises(UNREADABLE) as raised:
         read_config(make_config(workspaces=rows))
     assert "k1" not in str(raised.value)
 
 
-def test_vm_at_a_name_is_no_vm():
+def test_vm_with_a_host_name_is_rejected():
     # Datagrams to a name would wait for the resolver and hold up everything.
     with pytest.raises(ValueError):
         read_vm({"host": "example.org", "zone": "a1"})
@@ -160,7 +160,7 @@
 
 @pytest.mark.parametrize("item", ODD_ITEMS)
 @pytest.mark.parametrize("call", ["snapshot", "watch"])
-async def test_one_odd_object_hides_no_other(standin, item, call):
+async def test_unreadable_object_does_not_hide_others(standin, item, call):
     # A foreign program leaves something in the store that cannot be read.
     # Refusing the whole list for it would leave every VM with the upstreams
     # of before, and a drained one would go on getting requests.
@@ -178,7 +178,7 @@
     assert {o.name for o in objects} <= {"u", "x"}
 
 
-async def test_answer_that_is_no_list_is_an_error(standin):
+async def test_invalid_list_is_an_error(standin):
     standin.raw_body = b'{"items":'
     store = ObjectStore(standin.address, Counters())
     try:
--- a/godwitlanding/tests/gateway/test_registry.py
+++ b/godwitlanding/tests/gateway/test_registry.py
@@ -26,7 +26,7 @@
     return registry.get_cold_left_s("u", asyncio.get_running_loop().time())
 
 
-async def test_reborn_upstream_is_another_one():
+async def test_restarted_upstream_is_reported_as_gone():
     # An upstream crashes and starts again within its heartbeats, so that its
     # entry never vanishes. It is cold and knows no object; with what is held
     # of its former life it would be sent its full load, and crash again.
@@ -36,12 +36,12 @@
     assert registry.get_usable_ids("s", "a") == ("u",)
 
 
-async def test_reborn_upstream_takes_work_after_it_was_leaving():
+async def test_leaving_upstream_is_usable_after_a_restart():
     registry, _ = make_registry(make_upstream(100, leaving=True), make_upstream(200))
     assert registry.get_usable_ids("s", "a") == ("u",)
 
 
-async def test_late_write_of_a_former_life_changes_nothing():
+async def test_delayed_write_from_before_a_restart_is_ignored():
     # The store does a write seconds after it was sent, when the upstream has
     # started anew. Believed, it would take a new upstream out of use.
     registry, gone = make_registry(make_upstream(200), make_upstream(100, leaving=True))
@@ -50,13 +50,13 @@
 
 
 @pytest.mark.parametrize("born_ms", [0, 100])
-async def test_heartbeat_of_the_same_life_changes_nothing(born_ms):
+async def test_heartbeat_of_the_same_incarnation_changes_nothing(born_ms):
     upstream = make_upstream(born_ms)
     _, gone = make_registry(upstream, upstream)
     assert gone == []
 
 
-async def test_upstream_that_is_reached_again_is_taken_for_cold_until_it_tells():
+async def test_upstream_reached_again_is_cold_until_its_next_entry():
     # A connection opens again to an upstream that could not be reached. It
     # may have started anew, and its entry that says so is still on its way.
     registry, _ = make_registry(make_upstream(100))
@@ -67,7 +67,7 @@
     assert get_cold_left_s(registry) == 0.0
 
 
-async def test_each_life_of_an_upstream_that_a_request_ends_counts():
+async def test_each_start_of_an_upstream_has_its_own_incarnation():
     # One request ends the same upstream twice. Counted by the id alone that
     # would be one crash, and the request would go on to the next upstream.
     first, second = make_upstream(100), make_upstream(200)
@@ -83,7 +83,7 @@
         pytest.param([make_upstream(50)], id="entry of an earlier start"),
     ],
 )
-async def test_upstream_that_says_it_leaves_gets_nothing_whatever_entries_say(entries):
+async def test_leaving_upstream_is_unusable_whatever_its_entries_say(entries):
     # Guards against entries that are older than the upstream's own answer.
     registry, gone = make_registry(make_upstream(100))
     registry.note_leaving("u")
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("is_gone", [False, True])
-async def test_upstream_that_leaves_gets_nothing_because_a_copy_calls_it_ready(is_gone):
+async def test_leaving_upstream_stays_unusable_after_a_store_restore(is_gone):
     registry, _ = make_registry(make_upstream(100, leaving=True))
     if is_gone:
         registry.remove_upstream("u")
@@ -112,7 +112,7 @@
     assert registry.get_leaving_numbers() == (registry.number_by_id["u"],)
 
 
-async def test_leaving_is_told_while_entries_say_otherwise():
+async def test_leaving_is_reported_while_entries_do_not_say_so():
     registry, _ = make_registry(make_upstream(100))
     registry.note_leaving("u")
     number = registry.number_by_id["u"]
@@ -125,7 +125,7 @@
     assert registry.get_leaving_numbers() == ()
 
 
-async def test_unknown_upstream_that_leaves_is_nobody():
+async def test_unknown_leaving_upstream_is_ignored():
     registry, _ = make_registry()
     registry.note_leaving("u")
     registry.note_leaving(None)
--- a/godwitlanding/tests/gateway/test_self_report.py
+++ b/godwitlanding/tests/gateway/test_self_report.py
@@ -51,7 +51,7 @@
     )
 
 
-async def test_upstream_in_need_gets_the_rate_it_names_from_all_vms_together(world):
+async def test_all_vms_together_keep_to_the_limit_of_an_upstream(world):
     # Guards against VMs that overrun an upstream which has named a limit.
     limited = world.get_worker("look-1")
     limited.limit = str(LIMIT_PER_S)
@@ -62,7 +62,7 @@
     assert set(statuses) == {200}
 
 
-async def test_leaving_upstream_gets_no_new_work_while_the_store_is_away(world):
+async def test_leaving_upstream_gets_no_requests_during_a_store_outage(world):
     # Guards against a VM that believes the store's entry against the answers.
     world.store.crash()
     leaving = world.get_worker("look-1")
@@ -75,7 +75,7 @@
     assert set(statuses) == {200}
 
 
-async def test_store_that_comes_back_does_not_undo_that_an_upstream_leaves(world):
+async def test_older_entry_does_not_make_a_leaving_upstream_usable(world):
     # Guards against an older entry that is read after the upstream's answer.
     leaving = world.get_worker("look-1")
     leaving.leaving = True
@@ -87,7 +87,7 @@
     assert len(leaving.arrived_at) == before
 
 
-async def test_upstreams_that_want_a_pause_get_it(world):
+async def test_vm_pauses_for_upstreams_that_request_it(world):
     # Guards against a VM that keeps asking upstreams which turned it away.
     workers = [world.get_worker(worker_id) for worker_id in ("look-1", "look-2")]
     for worker in workers:
@@ -103,7 +103,7 @@
     assert workers[0].ran
 
 
-async def test_refused_callers_are_told_when_the_pause_is_over(world):
+async def test_retry_after_covers_the_remaining_pause(world):
     # Guards against callers who come back while nobody may be asked.
     for worker_id in ("look-1", "look-2"):
         world.get_worker(worker_id).fault = "shed"
@@ -115,7 +115,7 @@
     assert min(float(answer.headers["Retry-After"]) for answer, _ in answers) >= 1.5
 
 
-async def test_vm_that_starts_hears_that_an_upstream_leaves(world):
+async def test_starting_vm_learns_from_peers_that_an_upstream_is_leaving(world):
     # Guards against a VM that must learn it by a request of its own.
     leaving = world.get_worker("look-1")
     leaving.leaving = True
--- a/godwitlanding/tests/gateway/test_upstream.py
+++ b/godwitlanding/tests/gateway/test_upstream.py
@@ -73,7 +73,7 @@
         return answer
 
 
-async def test_connection_is_used_again():
+async def test_connection_is_reused():
     async with Upstream(make_answer(), make_answer(b"b")) as upstream:
         assert (await upstream.ask()).body == b"hello"
         assert (await upstream.ask()).body == b"b"
@@ -101,12 +101,12 @@
         ),
     ],
 )
-async def test_whole_answer(script):
+async def test_complete_response(script):
     async with Upstream(script) as upstream:
         assert (await upstream.ask()).body == b"hello"
 
 
-async def test_answer_without_a_length_ends_with_its_connection():
+async def test_response_without_a_length_ends_with_its_connection():
     async with Upstream(make_answer(length=False), end="close") as upstream:
         assert (await upstream.ask()).body == b"hello"
 
@@ -132,7 +132,7 @@
         ),
     ],
 )
-async def test_faulty_answer_is_none(script, end, failure):
+async def test_faulty_response_raises_an_error(script, end, failure):
     # An upstream breaks off, or its bytes are not the answer that was asked
     # for. Passed on, a caller would take half a pass, or another's, for its
     # own.
@@ -142,7 +142,7 @@
         assert caught.value.failure is failure
 
 
-async def test_second_answer_is_nobodys():
+async def test_surplus_response_is_discarded():
     # An upstream answers once more than it was asked. The bytes lie where
     # the next request's answer is expected.
     async with Upstream(make_answer() + make_answer(), make_answer(b"b")) as upstream:
@@ -151,7 +151,7 @@
         assert upstream.connections == 2
 
 
-async def test_connection_that_the_upstream_ends_is_not_used_again():
+async def test_closing_connection_is_not_reused():
     script = make_answer(extra=b"connection: close\r\n")
     async with Upstream(script, make_answer(b"b")) as upstream:
         await upstream.ask()
@@ -168,7 +168,9 @@
         pytest.param(b"", 2.0, True, True, id="young enough for a look-up"),
     ],
 )
-async def test_idle_connection(keep_alive, idle_s, is_idempotent, usable):
+async def test_idle_connection_is_reused_within_its_timeout(
+    keep_alive, idle_s, is_idempotent, usable
+):
     # The upstream closes a connection that is idle. A payment that crosses
     # the close may or may not have run, and cannot be sent again.
     async with Upstream(make_answer(extra=keep_alive)) as upstream:
@@ -198,7 +200,7 @@
 
 
 @pytest.mark.parametrize("missing", [0, 10])
-async def test_long_answer_is_streamed(missing):
+async def test_long_response_is_streamed(missing):
     # A long answer does not fit in memory. When it breaks off midway its
     # sink hears of it, so that the caller does not take it for whole.
     body = b"x" * (2 * MAX_HELD_BYTES)
@@ -212,7 +214,7 @@
         assert len(answer.body) + len(sink.data) == len(body)
 
 
-async def test_refused_connection_is_told_apart():
+async def test_refused_connection_is_a_connect_failure():
     async with Upstream() as upstream:
         host, port = upstream.address
         with pytest.raises(UpstreamError) as caught:
@@ -220,7 +222,7 @@
         assert caught.value.failure is Failure.CONNECT
 
 
-async def test_answer_before_the_body_was_read_ends_the_connection():
+async def test_connection_is_not_reused_if_the_body_was_not_read():
     # An upstream answers before it has read a long body, keeps the
     # connection, and reads on later. The next request's bytes would be taken
     # for the rest of that body.
--- a/godwitlanding/tests/gateway/test_courier.py
+++ b/godwitlanding/tests/gateway/test_upstreamclient.py
@@ -10,12 +10,12 @@
 from godwitlanding.decisions.poison import PoisonLedger
 from godwitlanding.decisions.worktime import WorkTimes
 from godwitlanding.gateway.attempt import Outcome
-from godwitlanding.gateway.courier import MOVED_EJECT_S, Courier
 from godwitlanding.gateway.limitgossip import LimitGossip
 from godwitlanding.gateway.registry import Registry, Upstream
-from godwitlanding.gateway.upstream import Answer
+from godwitlanding.gateway.upstream import Response
+from godwitlanding.gateway.upstreamclient import MOVED_EJECT_S, UpstreamClient
 from godwitlanding.platform.headers import HEADER_NAMES, read_self_report
-from godwitlanding.tests.gateway.test_chooser import make_work
+from godwitlanding.tests.gateway.test_chooser import make_request
 
 pytestmark = pytest.mark.looptime
 
@@ -31,7 +31,7 @@
 
     def send(self, data, request_id, without_body, sink):
         answered = asyncio.get_running_loop().create_future()
-        answered.set_result(Answer(self._status, self._headers, b"", False))
+        answered.set_result(Response(self._status, self._headers, b"", False))
         return answered
 
     def abort(self):
@@ -61,7 +61,7 @@
             trim=lambda: None,
             close=lambda: None,
         )
-        self.courier = Courier(
+        self.courier = UpstreamClient(
             HEADER_NAMES,
             read_self_report,
             self.pool,
@@ -83,11 +83,11 @@
     async def send(self):
         exchange = SimpleNamespace(method=b"GET", target=b"/", headers=[], body=b"")
         choice = SimpleNamespace(upstream=UPSTREAM, distance_s=0.0)
-        outcome, _, _ = await self.courier.send(exchange, make_work(), choice, None)
+        outcome, _, _ = await self.courier.send(exchange, make_request(), choice, None)
         return outcome
 
 
-async def test_upstream_whose_address_another_has_is_asked_no_more():
+async def test_upstream_whose_address_is_reused_is_ejected():
     # An upstream has ended and another service has its address. Its entry
     # stands for seconds, and every request for an object that it knew went
     # there, came back not run, and was refused once the retries were spent.
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("status", [500, 503])
-async def test_upstream_that_failed_once_is_asked_again(status):
+async def test_upstream_that_failed_once_is_not_ejected(status):
     async with Setting(status) as setting:
         await setting.send()
         assert setting.ejected == set()
@@ -115,7 +115,7 @@
     ("status", "headers"),
     [(200, [SIGNED]), (500, [SIGNED]), (503, [(HEADER_NAMES.not_executed, b"1")])],
 )
-async def test_limit_is_taken_from_every_answer(status, headers):
+async def test_limit_is_read_from_every_response(status, headers):
     # Guards against a limit that is told with a refusal only and not heard.
     async with Setting(status, [*headers, LIMIT]) as setting:
         await setting.send()
@@ -131,7 +131,7 @@
         (503, [], True),
     ],
 )
-async def test_limit_stands_until_an_answer_names_none(status, headers, stands):
+async def test_limit_holds_until_a_response_without_one(status, headers, stands):
     async with Setting(200, [SIGNED, LIMIT]) as setting:
         await setting.send()
         setting.status = status
@@ -141,7 +141,7 @@
         assert setting.limits.is_limited("u0") is stands
 
 
-async def test_another_upstream_at_the_address_limits_nobody():
+async def test_limit_of_another_upstream_at_the_address_is_ignored():
     # Guards against the word of one upstream being taken for another's.
     async with Setting(421, [LIMIT]) as setting:
         await setting.send()
--- a/godwitlanding/tests/gateway/test_whole_path.py
+++ b/godwitlanding/tests/gateway/test_whole_path.py
@@ -25,7 +25,7 @@
         yield world
 
 
-async def test_request_comes_back_as_the_upstream_answered(world):
+async def test_response_of_the_upstream_is_forwarded(world):
     answer, body = await world.ask(world.vms[0])
     assert answer.status == 200
     assert body.startswith(b"done by look-")
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("fault", ["reset", "cut", "fail", "shed", "crash"])
-async def test_lookup_is_fetched_elsewhere(world, fault):
+async def test_lookup_is_retried_on_another_upstream(world, fault):
     # One of two upstreams fails whatever it is given. A look-up may run
     # twice, so its caller need not hear of that.
     world.get_worker("look-1").fault = fault
@@ -67,7 +67,7 @@
         assert (answer.status, body) == (200, b"done by look-2")
 
 
-async def test_caller_that_leaves_frees_the_slot(world):
+async def test_caller_that_disconnects_frees_the_slot(world):
     # A caller gives up while its look-up runs. Unless its upstream is told,
     # a slot works for nobody.
     for worker_id in ("look-1", "look-2"):
@@ -93,7 +93,7 @@
     assert '"outcome":"given up"' in world.vms[0].read_log()
 
 
-async def test_leaving_upstream_gets_no_new_work(world):
+async def test_leaving_upstream_gets_no_requests(world):
     leaving = world.get_worker("look-1")
     await world.store.put("servers", "look-1", leaving.make_entry("draining"))
     await asyncio.sleep(0.5)
@@ -104,7 +104,7 @@
     assert len(leaving.ran) == before
 
 
-async def test_evacuated_zone_gets_nothing_until_it_is_taken_back(world):
+async def test_evacuated_zone_gets_no_requests_until_evacuation_ends(world):
     await world.store.put("evacuations", "a1", {})
     await asyncio.sleep(0.5)
     evacuated = world.get_worker("look-1")
@@ -120,7 +120,7 @@
     assert evacuated.ran
 
 
-async def test_new_route_is_served_and_unknown_ones_are_told(world):
+async def test_new_route_is_served_and_unknown_route_is_refused(world):
     answer, _ = await world.ask(world.vms[0], "/new/1")
     assert answer.status == 404
     row = ["new", "h", "/new/", "safe", "2s", "400ms", 2, None, 2, True, [], "looks"]
@@ -131,7 +131,7 @@
         assert answer.status == 200
 
 
-async def test_line_of_an_unknown_route_tells_by_which_configuration(world):
+async def test_log_line_of_an_unknown_route_names_the_configuration(world):
     await world.ask(world.vms[0], "/new/1", request_id="unknown-1")
     lines = [json.loads(line) for line in world.vms[0].read_log().splitlines()]
     lines = [line for line in lines if line.get("request") == "unknown-1"]
@@ -140,7 +140,7 @@
     assert told["config_age_s"] >= 0
 
 
-async def test_older_or_unreadable_configuration_changes_nothing(world):
+async def test_older_or_unreadable_configuration_is_ignored(world):
     # Operators' tools race, or write something that cannot be read. The
     # last good configuration stays in force.
     for spec in (make_config("r3"), {"version": "r9", "routes": 7}, {}):
@@ -151,7 +151,7 @@
     assert "vm:unreadable_object" in world.vms[0].read_log()
 
 
-async def test_killed_vm_is_named_no_longer(world):
+async def test_killed_vm_is_removed_from_the_directory(world):
     # A VM loses its power. Callers that are sent there wait in vain.
     killed = world.vms[1]
     killed.process.kill()
@@ -163,7 +163,7 @@
     assert await world.resolve(world.vms[0]) == [world.vms[0].address]
 
 
-async def test_planned_stop_cuts_off_nobody(world):
+async def test_planned_stop_fails_no_request(world):
     # A VM is stopped while callers use it and go on using it for as long as
     # their directory answers last. None of them may notice.
     stopped = world.vms[0]
@@ -200,7 +200,7 @@
     assert loop.time() - begun < GRACE_S
 
 
-async def test_hangup_and_changed_file_end_nothing(world):
+async def test_hangup_and_invalid_settings_do_not_stop_the_vm(world):
     # The platform says that the settings have changed. By default that
     # signal ends a process, with all its requests unanswered.
     vm = world.vms[0]
@@ -216,7 +216,7 @@
     assert "vm:reload_failed" in vm.read_log()
 
 
-async def test_store_that_is_away_stops_nobody(world):
+async def test_requests_are_served_during_a_store_outage(world):
     # The store goes away for a while. What was known stays in force.
     world.store.crash()
     await asyncio.sleep(0.5)
@@ -247,7 +247,7 @@
         pytest.param(b"GET /look/1 HTTP/1.1\r\nho", 408, id="header never ends"),
     ],
 )
-async def test_bad_input_is_told(world, request_bytes, status):
+async def test_invalid_request_is_refused(world, request_bytes, status):
     host, _, port = world.vms[0].address.partition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(request_bytes)
@@ -278,7 +278,7 @@
     writer.close()
 
 
-async def test_each_request_leaves_a_line_that_tells_its_way(world):
+async def test_log_lines_of_a_request(world):
     answer, _ = await world.pay(world.vms[0], 5)
     assert answer.status == 200
     await asyncio.sleep(0.3)
@@ -321,7 +321,7 @@
         await wait_until(is_ready)
 
 
-async def test_vm_that_starts_without_the_store_learns_from_its_peers(world):
+async def test_vm_that_starts_without_the_store_reads_from_its_peers(world):
     # A VM is killed and started again while the store is away. Without its
     # peers it could serve nobody until the store is back.
     vm = world.vms[0]
@@ -355,7 +355,7 @@
 
 
 @pytest.mark.parametrize(("fault", "status", "words"), CAUSES)
-async def test_id_leads_to_its_cause_by_the_logs(world, fault, status, words):
+async def test_logs_of_a_request_id_show_the_cause(world, fault, status, words):
     # A member complains days later. On call has the request's id and what
     # the VMs wrote, nothing else.
     for worker_id in ("pay-1", "pay-2"):
@@ -370,7 +370,7 @@
     assert any(row.fields.get("upstream", "").startswith("pay-") for row in story)
 
 
-async def test_upstream_is_told_what_time_is_left(world):
+async def test_upstream_gets_the_remaining_time(world):
     # The first upstream takes a while to fail, and the request is sent to
     # another. Told the caller's whole time again, that one would go on
     # working for a caller who has left.
@@ -386,7 +386,7 @@
     assert second <= first - 400
 
 
-async def test_request_that_crashes_upstreams_is_stopped_on_every_vm(world):
+async def test_request_that_crashes_upstreams_is_refused_by_every_vm(world):
     # One request ends each upstream that begins to run it, and its caller
     # sends it again, to any VM. Unless they tell each other, it takes every
     # licensed copy of the service.
--- a/godwitlanding/tests/gateway/test_workspaces.py
+++ b/godwitlanding/tests/gateway/test_workspaces.py
@@ -65,7 +65,7 @@
         pytest.param("/none/1", bearer("office-key"), 404, None, id="no route"),
     ],
 )
-async def test_upstream_learns_whose_request_it_is(
+async def test_upstream_gets_the_workspace_of_a_request(
     world, path, headers, status, workspace
 ):
     # An upstream bills what it runs to a workspace. It must not have to
@@ -84,7 +84,7 @@
     assert not any(key in logs for key in ("office-key", "spare-key", "lost-key"))
 
 
-async def test_header_behind_a_body_names_no_workspace(world):
+async def test_trailer_does_not_set_the_workspace(world):
     # A caller writes a second key, and the name of a workspace, behind its
     # body, where headers that were looked at have long been read.
     vm = world.vms[0]
@@ -103,7 +103,7 @@
     assert b"authorization" not in seen
 
 
-async def test_key_that_is_taken_away_opens_nothing_on_open_connections(world):
+async def test_revoked_key_is_refused_on_an_open_connection(world):
     # A clerk leaves the office and her key is taken away. Her browser keeps
     # its connection and goes on asking.
     async with aiohttp.TCPConnector(limit=1) as connector:
@@ -122,7 +122,7 @@
             world.session = kept
 
 
-async def test_key_that_a_cut_off_vm_does_not_know_may_be_a_new_one(world):
+async def test_unknown_key_is_refused_with_retry_after_during_a_store_outage(world):
     # The store is away and a caller comes with a key that nobody knows. It may
     # have been given out just now, so the caller hears when to come back.
     world.store.crash()
@@ -134,7 +134,7 @@
     assert answer.status == 200
 
 
-async def test_allotment_is_one_for_all_vms(world):
+async def test_vms_share_one_allotment(world):
     # A workspace of 4 requests a second and 8 at once sends forty to both VMs.
     # Each VM by itself would let its whole burst through.
     async def ask(number):
@@ -159,7 +159,7 @@
     assert others[0].status == 200
 
 
-async def test_request_that_no_upstream_takes_costs_no_allotment(world):
+async def test_request_that_did_not_run_costs_no_allotment(world):
     # Both upstreams shed everything for a moment. What was refused then has
     # not run, and its callers find their allotment untouched.
     for worker_id in ("look-1", "look-2"):
@@ -175,7 +175,7 @@
     assert answer.status == 200
 
 
-async def test_operators_see_what_a_workspace_has_sent(world):
+async def test_metrics_show_the_requests_of_a_workspace(world):
     for number in range(3):
         await world.ask(world.vms[0], f"/look/{number}", **bearer("small-key"))
     async with world.session.get(world.vms[0].metrics) as answer:
--- a/godwitlanding/tests/load/upstream_model.py
+++ b/godwitlanding/tests/load/upstream_model.py
@@ -4,7 +4,7 @@
 import re
 from collections import Counter, OrderedDict, deque
 
-from godwitlanding.gateway.upstream import Answer, Failure, UpstreamError
+from godwitlanding.gateway.upstream import Failure, Response, UpstreamError
 from godwitlanding.platform.headers import HEADER_NAMES
 
 _KEY = re.compile(rb"(?i)godwitlanding-affinity-key: ([^\r]*)")
@@ -64,7 +64,7 @@
             headers.append((b"server-limit", b"%g" % self.limit_per_s))
         if self.leaving:
             headers.append((b"server-leaving", b"1"))
-        return Answer(status, headers, b"body", False)
+        return Response(status, headers, b"body", False)
 
 
 class PoolModel:
