--- a/godwitlanding/tests/gateway/test_workspaces.py
+++ b/godwitlanding/tests/gateway/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Workspaces on the whole path: keys, regions and allotments."""
+"""End-to-end tests of workspaces: API keys, regions and allotments."""
 
 import asyncio
 
@@ -37,7 +37,7 @@
 
 
 def find_headers(world, request_id):
-    """Return the headers that a request came with at its upstream."""
+    """Return the headers of a request as its upstream received them."""
     for worker_id in ("look-1", "look-2", "pay-1", "pay-2"):
         worker = world.get_worker(worker_id)
         if request_id in worker.headers_by_request:
@@ -48,45 +48,49 @@
 @pytest.mark.parametrize(
     ("path", "headers", "status", "workspace"),
     [
-        pytest.param("/look/1", bearer("office-key"), 200, b"office", id="known"),
+        pytest.param("/look/1", bearer("office-key"), 200, b"office", id="known key"),
         pytest.param("/look/1", bearer("spare-key"), 200, b"office", id="second key"),
         pytest.param(
             "/look/1",
             {**bearer("office-key"), "GODWITLANDING-TENANT": "small"},
             200,
             b"office",
-            id="claims to be another",
+            id="claims another workspace",
         ),
-        pytest.param("/look/1", bearer("lost-key"), 401, None, id="unknown"),
+        pytest.param("/look/1", bearer("lost-key"), 401, None, id="unknown key"),
         pytest.param("/look/1", {}, 401, None, id="without a key"),
         pytest.param("/open/1", {TENANT: "office"}, 200, None, id="anonymous"),
-        pytest.param("/open/1", bearer("lost-key"), 200, None, id="anonymous, odd key"),
-        pytest.param("/home/1", bearer("abroad-key"), 503, None, id="no region"),
+        pytest.param(
+            "/open/1", bearer("lost-key"), 200, None, id="anonymous, unknown key"
+        ),
+        pytest.param(
+            "/home/1", bearer("abroad-key"), 503, None, id="no allowed region"
+        ),
         pytest.param("/none/1", bearer("office-key"), 404, None, id="no route"),
     ],
 )
 async def test_upstream_gets_the_workspace_of_a_request(
     world, path, headers, status, workspace
 ):
-    # An upstream bills what it runs to a workspace. It must not have to
-    # believe the caller, and the caller's key is nothing that it may see.
-    answer, _ = await world.ask(world.vms[0], path, request_id="r", **headers)
-    assert answer.status == status
+    # An upstream bills requests to a workspace. It must not depend on headers
+    # of the caller, and must not see the caller's key.
+    response, _ = await world.ask(world.vms[0], path, request_id="r", **headers)
+    assert response.status == status
     seen = find_headers(world, "r")
     assert (seen is not None) is (status == 200)
     if seen:
         assert b"authorization" not in seen
         assert seen.get(TENANT.lower().encode()) == workspace
     if status == 401:
-        assert answer.headers["WWW-Authenticate"] == "Bearer"
+        assert response.headers["WWW-Authenticate"] == "Bearer"
     await asyncio.sleep(0.2)
     logs = "".join(vm.read_log() for vm in world.vms)
     assert not any(key in logs for key in ("office-key", "spare-key", "lost-key"))
 
 
 async def test_trailer_does_not_set_the_workspace(world):
-    # A caller writes a second key, and the name of a workspace, behind its
-    # body, where headers that were looked at have long been read.
+    # A caller sends a second key and a workspace name as trailer fields after
+    # the body, when the headers have already been checked.
     vm = world.vms[0]
     host, port = vm.address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -104,55 +108,56 @@
 
 
 async def test_revoked_key_is_refused_on_an_open_connection(world):
-    # A clerk leaves the office and her key is taken away. Her browser keeps
-    # its connection and goes on asking.
+    # A clerk leaves the office and the key is revoked. The browser keeps its
+    # connection open and continues to send requests.
     async with aiohttp.TCPConnector(limit=1) as connector:
         async with aiohttp.ClientSession(connector=connector) as session:
             world.session, kept = session, world.session
-            answer, _ = await world.ask(world.vms[0], **bearer("office-key"))
-            assert answer.status == 200
+            response, _ = await world.ask(world.vms[0], **bearer("office-key"))
+            assert response.status == 200
             without = ["office", ["spare-key"], 0, 0, 0, []]
             changed = make_workspaces("r9", office=without)
             await world.store.put("config", "main", changed)
             await asyncio.sleep(0.5)
-            answer, _ = await world.ask(world.vms[0], **bearer("office-key"))
-            assert answer.status == 401
-            answer, _ = await world.ask(world.vms[0], **bearer("spare-key"))
-            assert answer.status == 200
+            response, _ = await world.ask(world.vms[0], **bearer("office-key"))
+            assert response.status == 401
+            response, _ = await world.ask(world.vms[0], **bearer("spare-key"))
+            assert response.status == 200
             world.session = kept
 
 
 async def test_unknown_key_is_refused_with_retry_after_during_a_store_outage(world):
-    # The store is away and a caller comes with a key that nobody knows. It may
-    # have been given out just now, so the caller hears when to come back.
+    # The store is unavailable and a caller sends an unknown key. It may have
+    # been issued just now, so the response asks the caller to retry.
     world.store.crash()
     await asyncio.sleep(6.0)
-    answer, _ = await world.ask(world.vms[0], **bearer("lost-key"))
-    assert answer.status == 503
-    assert float(answer.headers["Retry-After"]) > 0
-    answer, _ = await world.ask(world.vms[0], **bearer("office-key"))
-    assert answer.status == 200
+    response, _ = await world.ask(world.vms[0], **bearer("lost-key"))
+    assert response.status == 503
+    assert float(response.headers["Retry-After"]) > 0
+    response, _ = await world.ask(world.vms[0], **bearer("office-key"))
+    assert response.status == 200
 
 
 async def test_vms_share_one_allotment(world):
-    # A workspace of 4 requests a second and 8 at once sends forty to both VMs.
-    # Each VM by itself would let its whole burst through.
+    # A workspace with a rate of 4 requests a second and a burst of 8 sends
+    # forty requests to two VMs. Each VM by itself would admit the whole burst.
     async def ask(number):
         vm = world.vms[number % 2]
         return await world.ask(vm, f"/look/{number}", **bearer("small-key"))
 
-    answers = []
+    responses = []
     for number in range(40):
-        answers.append((await ask(number))[0])
+        responses.append((await ask(number))[0])
         await asyncio.sleep(0.01)
-    statuses = [answer.status for answer in answers]
+    statuses = [response.status for response in responses]
     assert set(statuses) == {200, 429}
-    # 8, what accrues, and what stands in for the parts of two regions.
+    # The burst of 8, what accrues meanwhile, and the initial shares of two
+    # regions.
     assert 4 <= statuses.count(200) <= 14
     waits = [
-        float(answer.headers["Retry-After"])
-        for answer in answers
-        if answer.status == 429
+        float(response.headers["Retry-After"])
+        for response in responses
+        if response.status == 429
     ]
     assert all(0.0 < wait <= 0.7 for wait in waits)
     others = await world.ask(world.vms[0], **bearer("office-key"))
@@ -160,24 +165,24 @@
 
 
 async def test_request_that_did_not_run_costs_no_allotment(world):
-    # Both upstreams shed everything for a moment. What was refused then has
-    # not run, and its callers find their allotment untouched.
+    # Both upstreams shed all requests for a moment. These have not run, so
+    # they must not reduce the allotment of the workspace.
     for worker_id in ("look-1", "look-2"):
         world.get_worker(worker_id).fault = "shed"
     for number in range(20):
-        answer, _ = await world.ask(
+        response, _ = await world.ask(
             world.vms[0], f"/look/{number}", **bearer("small-key")
         )
-        assert answer.status == 503
+        assert response.status == 503
     for worker_id in ("look-1", "look-2"):
         world.get_worker(worker_id).fault = ""
-    answer, _ = await world.ask(world.vms[0], **bearer("small-key"))
-    assert answer.status == 200
+    response, _ = await world.ask(world.vms[0], **bearer("small-key"))
+    assert response.status == 200
 
 
 async def test_metrics_show_the_requests_of_a_workspace(world):
     for number in range(3):
         await world.ask(world.vms[0], f"/look/{number}", **bearer("small-key"))
-    async with world.session.get(world.vms[0].metrics) as answer:
-        (row,) = read_rows("vm-0", await answer.text())
+    async with world.session.get(world.vms[0].metrics) as response:
+        (row,) = read_rows("vm-0", await response.text())
     assert (row.workspace, row.limit_per_s, row.sent) == ("small", 4.0, 3.0)
--- a/godwitlanding/tests/gateway/world.py
+++ b/godwitlanding/tests/gateway/world.py
@@ -1,4 +1,8 @@
-"""Real ``godwit-vm`` processes against stand-ins, and their callers."""
+"""Test environment: real ``godwit-vm`` processes with simulated upstreams.
+
+The store and the upstreams (``workers``) are stand-ins within the test
+process.
+"""
 
 import asyncio
 import itertools
@@ -13,8 +17,8 @@
 
 STORE_PORT = 8541
 WORKER_PORT = 9000
-# Callers' requests, readiness, directory, peers and metrics: the ports are
-# the same on all VMs of a day.
+# Ports for callers' requests, readiness, directory, peers and metrics. All VMs
+# use the same ports on a given day.
 VM_PORTS = (8548, 8542, 8546, 7540, 9464)
 REGION_BY_ZONE = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 GRACE_S = 4.0
@@ -51,7 +55,7 @@
 
 
 def make_config(version="r7", extra=(), workspaces=None):
-    """Return a configuration of a safe and an unsafe route.
+    """Return a configuration with a safe and an unsafe route.
 
     ``workspaces`` are rows of name, keys, priority, rate, burst and regions.
     """
@@ -105,7 +109,7 @@
 
 
 class Vm:
-    """A real process and the addresses at which it serves."""
+    """A real process and its addresses."""
 
     def __init__(self, number, zone, prefix, folder):
         self.name = f"vm-{number}"
@@ -117,7 +121,7 @@
         self.process = None
 
     def write_settings(self, grace_s=GRACE_S):
-        """Write the settings file as the platform does."""
+        """Write the settings file in the platform's format."""
         front, ready, directory, peer, metrics = VM_PORTS
         zones = "\n".join(f'{z} = "{r}"' for z, r in REGION_BY_ZONE.items())
         self.front = f"http://{self.ip}:{front}"
@@ -163,13 +167,13 @@
         self.process.send_signal(number)
 
     async def end(self):
-        """Kill the process if it still runs."""
+        """Kill the process if it is still running."""
         if self.process and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
 
     def read_log(self):
-        """Return what the process has logged."""
+        """Return the log of the process."""
         return self.log.read_text()
 
 
@@ -182,7 +186,7 @@
 
 
 class World:
-    """A store, upstreams (``workers``) and some VMs."""
+    """A store, upstreams (``workers``), VMs and a client session."""
 
     def __init__(self, folder, zones=("a1", "a2", "b1"), workers=WORKERS):
         self._folder = folder
@@ -215,10 +219,10 @@
         await self.session.close()
 
     async def prepare_vm(self, vm, number):
-        """Change a VM before its settings are written; here nothing."""
+        """Hook for subclasses, called before a VM's settings are written."""
 
     def get_worker(self, worker_id):
-        """Return a stand-in of an upstream."""
+        """Return the stand-in of an upstream."""
         return self._workers_by_id[worker_id]
 
     async def add_worker(self, worker_id, service, zone):
@@ -235,7 +239,7 @@
         await self.store.put("servers", worker.id, worker.make_entry(state))
 
     async def start(self):
-        """Start every VM and wait until all are ready and know each other."""
+        """Start all VMs; wait until all are ready and know each other."""
         for vm in self.vms:
             await vm.start()
         async with asyncio.timeout(READY_S):
@@ -246,26 +250,26 @@
                 await asyncio.sleep(0.05)
 
     async def wait_until_ready(self, vm):
-        """Wait until a VM says that it serves."""
+        """Wait until a VM reports that it is ready."""
         while await self.get_status(vm.ready) != 200:
             await asyncio.sleep(0.05)
 
     async def get_status(self, url):
-        """Return an answer's status, 0 where there is none."""
+        """Return the status of a URL, 0 if it cannot be reached."""
         try:
-            async with self.session.get(url) as answer:
-                return answer.status
+            async with self.session.get(url) as response:
+                return response.status
         except aiohttp.ClientError:
             return 0
 
     async def resolve(self, vm, region="a"):
-        """Return the addresses that a VM's directory names."""
+        """Return the addresses from a VM's directory."""
         query = {"name": "h", "region": region, "zone": "a1"}
-        async with self.session.get(vm.directory, params=query) as answer:
-            return (await answer.json())["addresses"]
+        async with self.session.get(vm.directory, params=query) as response:
+            return (await response.json())["addresses"]
 
     async def ask(self, vm, path="/look/1", method="GET", body=None, **headers):
-        """Return a caller's answer and its body."""
+        """Send a caller's request; return the response and its body."""
         request_id = headers.pop("request_id", f"r{next(self._ids)}")
         sent = {
             "Host": "h",
@@ -276,8 +280,8 @@
         }
         async with self.session.request(
             method, vm.front + path, data=body, headers=sent
-        ) as answer:
-            return answer, await answer.read()
+        ) as response:
+            return response, await response.read()
 
     async def pay(self, vm, number, **headers):
         """Send a payment whose request id is ``pay-NUMBER``."""
@@ -288,11 +292,11 @@
         )
 
     def count_runs(self, request_id):
-        """Return how often a request was run by all upstreams together."""
+        """Return how often all upstreams together ran a request."""
         workers = self._workers_by_id.values()
         return sum(worker.ran.count(request_id) for worker in workers)
 
     async def stop(self, vm):
-        """Stop a VM as planned; return its exit code."""
+        """Stop a VM with SIGTERM; return its exit code."""
         vm.signal(signal.SIGTERM)
         return await vm.process.wait()
