--- a/godwitlanding/gateway/allotmentgossip.py
+++ b/godwitlanding/gateway/allotmentgossip.py
@@ -71,12 +71,12 @@
             message.tells_all,
             message.carries,
         )
-        self._allotments.learn(message.levels, now)
+        self._allotments.adopt_levels(message.levels, now)
 
     def receive_digest(self, digest):
         """Handle another region's digest."""
         if digest.asked:
-            self._allotments.hear_region(digest.region, digest.asked, _now())
+            self._allotments.receive_region_demand(digest.region, digest.asked, _now())
 
     def update(self, share, carries_requests):
         """Recompute this region's parts; ``share`` of its VMs is reachable.
--- a/godwitlanding/gateway/limitgossip.py
+++ b/godwitlanding/gateway/limitgossip.py
@@ -100,7 +100,7 @@
     def receive_digest(self, digest):
         """Handle the limits in a digest; that of this region is ignored."""
         if digest.region != self._region:
-            self._limits.hear_region(digest.region, digest.limited, _now())
+            self._limits.receive_region_limits(digest.region, digest.limited, _now())
 
     def update(self, share, carries_requests):
         """Set the share of the region's VMs that is reachable.
--- a/godwitlanding/gateway/regionbalancer.py
+++ b/godwitlanding/gateway/regionbalancer.py
@@ -10,7 +10,7 @@
 
 from godwitlanding.decisions.forecast import Forecast
 from godwitlanding.decisions.regionshare import (
-    FULL,
+    MAX_UTILIZATION,
     TARGET_CACHED_OBJECTS,
     RegionLoad,
     RegionSelector,
@@ -118,7 +118,9 @@
             rate = rate_by_region.get(region, 0.0)
             capacity = slots / work_s
             if cacheable_by_region[region] < 1.0:
-                capacity = min(capacity, rate * cacheable_by_region[region] / FULL)
+                capacity = min(
+                    capacity, rate * cacheable_by_region[region] / MAX_UTILIZATION
+                )
             load_by_region[region] = RegionLoad(rate, capacity)
         return load_by_region
 
--- a/godwitlanding/gateway/sourceselector.py
+++ b/godwitlanding/gateway/sourceselector.py
@@ -17,8 +17,8 @@
     START_WAIT_S,
     Neighbour,
     choose_source,
-    get_order,
     may_stop_reading,
+    rank_readers,
     should_read,
 )
 from godwitlanding.gateway.gossipmessage import StoreState
@@ -137,7 +137,7 @@
         if any(neighbour.reads for neighbour in neighbour_by_vm.values()):
             self._reader_seen_at = now
         region_peers = [self._fleet.peer_by_vm[vm] for vm in neighbour_by_vm]
-        order = get_order([self._own, *region_peers])
+        order = rank_readers([self._own, *region_peers])
         if self._may_decide_reading:
             self._decide_reading(order, neighbour_by_vm, now)
         self._decide_source(order, neighbour_by_vm, now)
--- a/godwitlanding/tests/gateway/test_sourceselector.py
+++ b/godwitlanding/tests/gateway/test_sourceselector.py
@@ -7,14 +7,14 @@
 
 from godwitlanding.decisions.digest import Digest, Digests
 from godwitlanding.decisions.fleet import Fleet
-from godwitlanding.decisions.storereaders import BEHIND_S, START_WAIT_S, get_order
+from godwitlanding.decisions.storereaders import BEHIND_S, START_WAIT_S, rank_readers
 from godwitlanding.gateway.sourceselector import CHECK_INTERVAL_S, SourceSelector
 from godwitlanding.tests.support_fleet import CAPACITY, make_gossip_message, make_peer
 
 pytestmark = pytest.mark.looptime
 
 VMS = [f"vm-{number}" for number in range(4)]
-ORDER = get_order([make_peer(vm) for vm in VMS])
+ORDER = rank_readers([make_peer(vm) for vm in VMS])
 DIGEST = Digest("q", 3, (), {}, (), "far", (0, 0))
 
 
