--- a/godwitlanding/decisions/allotment.py
+++ b/godwitlanding/decisions/allotment.py
@@ -183,7 +183,7 @@
         rows.sort(key=lambda tally: tally.asked, reverse=True)
         return tuple(rows[:MAX_ROWS])
 
-    def hear(self, vm, incarnation, tallies, now, tells_all=False, carries=True):
+    def receive(self, vm, incarnation, tallies, now, tells_all=False, carries=True):
         """Take the request counts of another VM of the region.
 
         ``tallies`` may be empty. ``tells_all`` states that they are all counts
--- a/godwitlanding/decisions/digest.py
+++ b/godwitlanding/decisions/digest.py
@@ -116,7 +116,7 @@
         self._forward_offset = 0
         self.digest_by_region = {}
 
-    def hear(self, digest, is_direct, now):
+    def receive(self, digest, is_direct, now):
         """Store a digest; ``is_direct`` if that region sent it itself."""
         if digest.region == self._region:
             return
--- a/godwitlanding/decisions/fleet.py
+++ b/godwitlanding/decisions/fleet.py
@@ -121,7 +121,7 @@
         # Rate of requests that callers send to this VM itself.
         self.own_rate_per_s = 0.0
 
-    def hear(self, message, address, now):
+    def receive(self, message, address, now):
         """Store a peer's state; return whether the message is newer."""
         known = self.peer_by_vm.get(message.vm)
         if known and known.incarnation == message.incarnation:
--- a/godwitlanding/decisions/objectmap.py
+++ b/godwitlanding/decisions/objectmap.py
@@ -52,7 +52,7 @@
 
     def note(self, cache_entry, now):
         """Record a sent request; return whether to announce it to peers."""
-        self.hear(cache_entry, now)
+        self.receive(cache_entry, now)
         announced_at = self._announced_at_by_entry.get(cache_entry)
         if announced_at is not None and now - announced_at < ANNOUNCE_INTERVAL_S:
             return False
@@ -71,7 +71,7 @@
         """
         return cache_entry in self._answered
 
-    def hear(self, cache_entry, now):
+    def receive(self, cache_entry, now):
         """Add an entry announced by a peer or made by this VM."""
         added_at_by_key = self._added_at_by_key_by_upstream.setdefault(
             cache_entry.upstream, OrderedDict()
--- a/godwitlanding/decisions/ratelimit.py
+++ b/godwitlanding/decisions/ratelimit.py
@@ -178,7 +178,7 @@
         limit.changed_at = now
         return self._apply_limit(limit, per_s, now, now)
 
-    def hear(self, vm, incarnation, row, region, now):
+    def receive(self, vm, incarnation, row, region, now):
         """Take another VM's report on an upstream of ``region``.
 
         Returns whether the limit has changed.
--- a/godwitlanding/gateway/allotmentgossip.py
+++ b/godwitlanding/gateway/allotmentgossip.py
@@ -63,7 +63,7 @@
     def receive_message(self, message):
         """Handle a message from a VM of this region."""
         now = _now()
-        self._allotments.hear(
+        self._allotments.receive(
             message.vm,
             message.incarnation,
             message.tallies,
--- a/godwitlanding/gateway/limitgossip.py
+++ b/godwitlanding/gateway/limitgossip.py
@@ -94,7 +94,7 @@
             upstream = self._registry.upstream_by_id[upstream_id]
             region = self._registry.get_region(upstream.availability_zone)
             former = self._limits.get(row.upstream)
-            if self._limits.hear(message.vm, message.incarnation, row, region, now):
+            if self._limits.receive(message.vm, message.incarnation, row, region, now):
                 self._log(upstream_id, row.per_s, former, message.vm)
 
     def receive_digest(self, digest):
--- a/godwitlanding/gateway/objectgossip.py
+++ b/godwitlanding/gateway/objectgossip.py
@@ -33,7 +33,7 @@
     def note_received(self, cache_entry, is_own_region):
         """Record a peer's entry; those of the own region go into digests."""
         now = _now()
-        self._object_map.hear(cache_entry, now)
+        self._object_map.receive(cache_entry, now)
         if is_own_region:
             self._keep(cache_entry, now)
 
--- a/godwitlanding/gateway/peers.py
+++ b/godwitlanding/gateway/peers.py
@@ -179,7 +179,7 @@
         now = asyncio.get_running_loop().time()
         previous = self._fleet.peer_by_vm.get(message.vm)
         address = f"{host}:{self._identity.caller_address[1]}"
-        if not self._fleet.hear(message, address, now):
+        if not self._fleet.receive(message, address, now):
             return
         self._occupancy.note_peer(message.vm, message.count_by_number, now)
         is_own_region = message.region == self._identity.region
@@ -221,7 +221,7 @@
     def _receive_digests(self, message, host, is_own_region, now):
         for digest in message.digests:
             is_direct = digest.region == message.region
-            self.digests.hear(digest, is_direct, now)
+            self.digests.receive(digest, is_direct, now)
             self._allotment_gossip.receive_digest(digest)
             self._limit_gossip.receive_digest(digest)
             self._receive_leaving(digest.leaving_upstreams, message.vm)
--- a/godwitlanding/gateway/savedobjectmap.py
+++ b/godwitlanding/gateway/savedobjectmap.py
@@ -113,7 +113,7 @@
             if stored.name == self._region:
                 self._version = stored.version
             for cache_entry in self._decode(stored):
-                self._object_map.hear(cache_entry, now)
+                self._object_map.receive(cache_entry, now)
                 count += 1
         log_message("savedmap:read", meetings=count)
 
--- a/godwitlanding/tests/decisions/ratelimit_simulation.py
+++ b/godwitlanding/tests/decisions/ratelimit_simulation.py
@@ -103,7 +103,7 @@
 
     def _receive_counts(self, now, vm, sender, incarnation, rows):
         for row in rows:
-            self._limits_by_vm[vm].hear(f"vm-{sender}", incarnation, row, "a", now)
+            self._limits_by_vm[vm].receive(f"vm-{sender}", incarnation, row, "a", now)
 
     def _update_limits(self, now, vm, incarnation):
         if self._incarnation_by_vm[vm] != incarnation:
--- a/godwitlanding/tests/decisions/test_allotment.py
+++ b/godwitlanding/tests/decisions/test_allotment.py
@@ -123,21 +123,21 @@
 
 def test_requests_sent_by_peers_are_counted():
     allotments = make_allotments()
-    allotments.hear("vm", 1, (Tally(OFFICE_NUMBER, 500, 500),), 100.0)
-    allotments.hear("vm", 1, (Tally(OFFICE_NUMBER, 515, 515),), 100.1)
+    allotments.receive("vm", 1, (Tally(OFFICE_NUMBER, 500, 500),), 100.0)
+    allotments.receive("vm", 1, (Tally(OFFICE_NUMBER, 515, 515),), 100.1)
     assert take_all(allotments, 100.1) == 5
     # A duplicate counts once.
-    allotments.hear("vm", 1, (Tally(OFFICE_NUMBER, 515, 515),), 101.0)
+    allotments.receive("vm", 1, (Tally(OFFICE_NUMBER, 515, 515),), 101.0)
     assert take_all(allotments, 101.0) == 9
     # A restarted VM counts from zero.
-    allotments.hear("vm", 2, (Tally(OFFICE_NUMBER, 3, 3),), 101.0)
+    allotments.receive("vm", 2, (Tally(OFFICE_NUMBER, 3, 3),), 101.0)
     assert take_all(allotments, 102.0) == 7
 
 
 def test_new_count_is_entirely_new_after_a_full_message():
     allotments = make_allotments()
-    allotments.hear("vm", 1, (), 100.0, tells_all=True)
-    allotments.hear("vm", 1, (Tally(OFFICE_NUMBER, 5, 5),), 100.1)
+    allotments.receive("vm", 1, (), 100.0, tells_all=True)
+    allotments.receive("vm", 1, (Tally(OFFICE_NUMBER, 5, 5),), 100.1)
     assert take_all(allotments, 100.1) == 15
 
 
@@ -155,8 +155,8 @@
     # side.
     allotments = make_allotments()
     tally = Tally(OFFICE_NUMBER, 5, 5)
-    allotments.hear("vm", 1, (), 100.0, tells_all=True, carries=carries)
-    allotments.hear("vm", 1, (tally,), 101.6, carries=carries)
+    allotments.receive("vm", 1, (), 100.0, tells_all=True, carries=carries)
+    allotments.receive("vm", 1, (tally,), 101.6, carries=carries)
     assert take_all(allotments, 101.6) == expected
 
 
@@ -165,10 +165,10 @@
     # was queued on a full link and arrives now; its counts are those of a
     # whole day.
     allotments = make_allotments()
-    allotments.hear("vm", 1, (Tally(OFFICE_NUMBER, 5000, 5000),), 100.0)
-    allotments.hear("vm", 2, (Tally(OFFICE_NUMBER, 1, 1),), 100.5)
-    allotments.hear("vm", 1, (Tally(OFFICE_NUMBER, 5001, 5001),), 100.6)
-    allotments.hear("vm", 2, (Tally(OFFICE_NUMBER, 2, 2),), 100.7)
+    allotments.receive("vm", 1, (Tally(OFFICE_NUMBER, 5000, 5000),), 100.0)
+    allotments.receive("vm", 2, (Tally(OFFICE_NUMBER, 1, 1),), 100.5)
+    allotments.receive("vm", 1, (Tally(OFFICE_NUMBER, 5001, 5001),), 100.6)
+    allotments.receive("vm", 2, (Tally(OFFICE_NUMBER, 2, 2),), 100.7)
     assert take_all(allotments, 101.0) >= 17
 
 
@@ -186,8 +186,8 @@
 
 def test_wrong_count_refuses_requests_only_briefly():
     allotments = make_allotments()
-    allotments.hear("vm", 1, (Tally(OFFICE_NUMBER, 0, 0),), 100.0)
-    allotments.hear("vm", 1, (Tally(OFFICE_NUMBER, 10**6, 0),), 100.1)
+    allotments.receive("vm", 1, (Tally(OFFICE_NUMBER, 0, 0),), 100.0)
+    allotments.receive("vm", 1, (Tally(OFFICE_NUMBER, 10**6, 0),), 100.1)
     assert take_all(allotments, 100.2) == 0
     assert take_all(allotments, 105.0) >= 10
 
@@ -195,8 +195,8 @@
 @pytest.mark.parametrize("tally", [Tally(7, 9, 9), Tally(OFFICE_NUMBER, 2**32 - 1, 0)])
 def test_invalid_count_of_a_peer_does_no_harm(tally):
     allotments = make_allotments()
-    allotments.hear("vm", 1, (Tally(OFFICE_NUMBER, 0, 0),), 100.0)
-    allotments.hear("vm", 1, (tally,), 100.1)
+    allotments.receive("vm", 1, (Tally(OFFICE_NUMBER, 0, 0),), 100.0)
+    allotments.receive("vm", 1, (tally,), 100.1)
     assert take_all(allotments, 100.1) <= 20
 
 
@@ -314,7 +314,7 @@
         elif action == "send" and messages and vm != other:
             sender, incarnation, message = messages[index % len(messages)]
             if sender != other and incarnation == incarnations[sender]:
-                vms[other].hear(names[sender], incarnation, message, clock)
+                vms[other].receive(names[sender], incarnation, message, clock)
         elif action == "restart":
             vms[vm] = Allotments("a", ("a",), NO_TOLERANCE, clock)
             vms[vm].set_workspaces([OFFICE], clock)
--- a/godwitlanding/tests/decisions/test_allotment_states.py
+++ b/godwitlanding/tests/decisions/test_allotment_states.py
@@ -44,7 +44,7 @@
     def send_counts(self, sender, receiver):
         tallies = self.vms[sender].get_tallies()
         incarnation = self.incarnations[sender]
-        self.vms[receiver].hear(
+        self.vms[receiver].receive(
             NAMES[sender], incarnation, tallies, NOW, tells_all=True
         )
 
--- a/godwitlanding/tests/decisions/test_digest.py
+++ b/godwitlanding/tests/decisions/test_digest.py
@@ -65,15 +65,15 @@
     # otherwise two VMs would keep forwarding the digest of a lost region to
     # each other forever.
     digests = Digests("r")
-    digests.hear(make_region_digest("q"), True, 0.0)
-    digests.hear(make_region_digest("p"), False, 0.0)
+    digests.receive(make_region_digest("q"), True, 0.0)
+    digests.receive(make_region_digest("p"), False, 0.0)
     assert [digest.region for digest in digests.get_forwarded(0.1)] == ["q"]
     assert digests.get_forwarded(FORWARD_S + 0.1) == ()
 
 
 def test_silent_region_is_dropped():
     digests = Digests("r")
-    digests.hear(make_region_digest("q"), True, 0.0)
+    digests.receive(make_region_digest("q"), True, 0.0)
     assert digests.drop_silent(DIGEST_TIMEOUT_S - 0.1) == []
     assert digests.drop_silent(DIGEST_TIMEOUT_S + 0.1) == ["q"]
     assert digests.digest_by_region == {}
@@ -82,7 +82,7 @@
 
 def test_digest_of_the_own_region_is_ignored():
     digests = Digests("r")
-    digests.hear(make_region_digest("r"), True, 0.0)
+    digests.receive(make_region_digest("r"), True, 0.0)
     assert digests.digest_by_region == {}
 
 
@@ -90,7 +90,7 @@
     digests = Digests("r")
     names = [f"q{number}" for number in range(3 * MAX_FORWARDED - 1)]
     for name in names:
-        digests.hear(make_region_digest(name), True, 0.0)
+        digests.receive(make_region_digest(name), True, 0.0)
     forwarded_regions = set()
     for _ in range(3):
         forwarded = digests.get_forwarded(0.1)
@@ -102,6 +102,6 @@
 def test_carriers_of_some_regions():
     digests = Digests("r")
     for name in ("p", "q"):
-        digests.hear(make_region_digest(name), True, 0.0)
+        digests.receive(make_region_digest(name), True, 0.0)
     assert digests.get_carriers({"q"}) == ["10.0.0.1:q"]
     assert len(digests.get_carriers()) == 2
--- a/godwitlanding/tests/decisions/test_fleet.py
+++ b/godwitlanding/tests/decisions/test_fleet.py
@@ -147,7 +147,7 @@
     fleet = make_fleet(*messages)
     assert choose_addresses(None, fleet, "r") == ["s0:1", "s1:1", "s2:1"]
     for n in range(3):
-        fleet.hear(make_gossip_message(f"s{n}", sequence=2, ready=False), "", 0.1)
+        fleet.receive(make_gossip_message(f"s{n}", sequence=2, ready=False), "", 0.1)
     assert choose_addresses(None, fleet, "r") == ["v:1", "w:1"]
 
 
@@ -182,7 +182,7 @@
     # afterwards. If that were applied, callers would be directed to a VM that
     # is about to stop.
     fleet = make_fleet(make_gossip_message("a", sequence=5, leaving=True))
-    assert fleet.hear(make_gossip_message("a", **changes), "a:1", 0.1) is is_accepted
+    assert fleet.receive(make_gossip_message("a", **changes), "a:1", 0.1) is is_accepted
     assert bool(fleet.get_usable("r")) is is_accepted
 
 
--- a/godwitlanding/tests/decisions/test_objectmap.py
+++ b/godwitlanding/tests/decisions/test_objectmap.py
@@ -24,7 +24,7 @@
 
 def test_entry_announced_by_a_peer_is_listed():
     object_map = ObjectMap()
-    object_map.hear(CacheEntry(1, 7), 0.0)
+    object_map.receive(CacheEntry(1, 7), 0.0)
     assert set(object_map.get_upstreams(7)) == {1}
     assert object_map.get_depth(1, 7) == 0
     assert object_map.count_known(1) == 1
--- a/godwitlanding/tests/decisions/test_ratelimit.py
+++ b/godwitlanding/tests/decisions/test_ratelimit.py
@@ -148,9 +148,9 @@
     # to each other.
     limits = make_limits()
     limits.note_answer(UPSTREAM, "a", 2.0, 10.0)
-    assert limits.hear("vm", 1, LimitRow(UPSTREAM, None, 0.1, 0), "a", 10.5)
+    assert limits.receive("vm", 1, LimitRow(UPSTREAM, None, 0.1, 0), "a", 10.5)
     assert limits.get(UPSTREAM) is None
-    assert not limits.hear("vm", 1, LimitRow(UPSTREAM, 2.0, 0.6, 0), "a", 10.7)
+    assert not limits.receive("vm", 1, LimitRow(UPSTREAM, 2.0, 0.6, 0), "a", 10.7)
     # A VM reports the answer that it got itself, not what others report.
     (row,) = limits.get_rows(10.7)
     assert row.per_s == 2.0
@@ -163,13 +163,13 @@
     limits = make_limits()
     limits.note_answer(UPSTREAM, "a", 5.0, 0.0)
     # What another VM sent before this VM knew the limit does not count.
-    limits.hear("old", 1, LimitRow(UPSTREAM, 5.0, 0.1, 100), "a", 0.5)
+    limits.receive("old", 1, LimitRow(UPSTREAM, 5.0, 0.1, 100), "a", 0.5)
     limits.update(1.0, True, 3.0)
     for _ in range(3):
-        limits.hear("old", 1, LimitRow(UPSTREAM, 5.0, 0.1, 104), "a", 3.0)
+        limits.receive("old", 1, LimitRow(UPSTREAM, 5.0, 0.1, 104), "a", 3.0)
     assert limits.may_send(UPSTREAM, 3.0)
     # A restarted VM counts from zero.
-    limits.hear("old", 2, LimitRow(UPSTREAM, 5.0, 0.1, 1), "a", 3.0)
+    limits.receive("old", 2, LimitRow(UPSTREAM, 5.0, 0.1, 1), "a", 3.0)
     assert not limits.may_send(UPSTREAM, 3.0)
 
 
--- a/godwitlanding/tests/gateway/test_chooser.py
+++ b/godwitlanding/tests/gateway/test_chooser.py
@@ -290,7 +290,7 @@
         for number, key in enumerate(KEYS):
             name = WARM[number % len(WARM)][0]
             cache_entry = CacheEntry(numbers[name], get_object_number("s", key))
-            setting.object_map.hear(cache_entry, 0.0)
+            setting.object_map.receive(cache_entry, 0.0)
             assert setting.choose(make_request(key)).upstream.id == name
 
 
@@ -328,7 +328,7 @@
         far = setting.registry.number_by_id["far"]
         for key in KEYS:
             cache_entry = CacheEntry(far, get_object_number("s", key))
-            setting.object_map.hear(cache_entry, 0.0)
+            setting.object_map.receive(cache_entry, 0.0)
         setting.chooser.availability.ejected.update(name for name, _, _ in WARM)
         assert set(send_objects(setting, KEYS[:10]).values()) == {"far"}
 
@@ -349,7 +349,9 @@
         moved = [f"moved-{number}" for number in range(60)]
         for number, key in enumerate(moved):
             far = numbers[f"f{number % 4}"]
-            setting.object_map.hear(CacheEntry(far, get_object_number("s", key)), 0.0)
+            setting.object_map.receive(
+                CacheEntry(far, get_object_number("s", key)), 0.0
+            )
         choices = [setting.choose(make_request(key)) for key in moved]
         assert not any(isinstance(choice, Rejection) for choice in choices)
         far = sum(choice.upstream.id.startswith("f") for choice in choices)
--- a/godwitlanding/tests/gateway/test_savedobjectmap.py
+++ b/godwitlanding/tests/gateway/test_savedobjectmap.py
@@ -91,8 +91,8 @@
 
     def add_cache_entries(self, *keys):
         for key in keys:
-            self.object_map.hear(CacheEntry(self.local_upstream, key), 0.0)
-        self.object_map.hear(CacheEntry(self.remote_upstream, 99), 0.0)
+            self.object_map.receive(CacheEntry(self.local_upstream, key), 0.0)
+        self.object_map.receive(CacheEntry(self.remote_upstream, 99), 0.0)
 
 
 async def test_vm_reads_saved_cache_entries_after_a_power_cut():
--- a/godwitlanding/tests/gateway/test_sourceselector.py
+++ b/godwitlanding/tests/gateway/test_sourceselector.py
@@ -110,7 +110,7 @@
                 failed=vm in failed,
                 changed_at=changed_at if vm in reading else (5, 5),
             )
-            self.fleet.hear(message, f"{vm}:1", 0.0)
+            self.fleet.receive(message, f"{vm}:1", 0.0)
 
     async def __aenter__(self):
         await self.selector.start(None)
@@ -201,7 +201,7 @@
     async with SelectorHarness(ORDER[3]) as harness:
         harness.receive_states(reading=ORDER[:2])
         await asyncio.sleep(0.3)
-        harness.digests.hear(DIGEST._replace(changed_at=(7, 5)), True, 0.0)
+        harness.digests.receive(DIGEST._replace(changed_at=(7, 5)), True, 0.0)
         await asyncio.sleep(BEHIND_S + 2 * CHECK_INTERVAL_S)
         assert harness.feed.source == "far"
 
--- a/godwitlanding/tests/load/allotment_ways.py
+++ b/godwitlanding/tests/load/allotment_ways.py
@@ -41,9 +41,9 @@
     def tell(self, now):
         return self._held.get_tallies(), self._held.get_levels(now)
 
-    def hear(self, vm, incarnation, told, now):
+    def receive(self, vm, incarnation, told, now):
         tallies, levels = told
-        self._held.hear(vm, incarnation, tallies, now, tells_all=True)
+        self._held.receive(vm, incarnation, tallies, now, tells_all=True)
         self._held.adopt_levels(levels, now)
 
     def digest(self):
@@ -93,7 +93,7 @@
     def tell(self, now):
         return ()
 
-    def hear(self, vm, incarnation, told, now):
+    def receive(self, vm, incarnation, told, now):
         pass
 
     def digest(self):
@@ -128,7 +128,7 @@
     def tell(self, now):
         return self._asked_by_vm[self._place.vm]
 
-    def hear(self, vm, incarnation, told, now):
+    def receive(self, vm, incarnation, told, now):
         self._asked_by_vm[vm] = told
 
     def digest(self):
--- a/godwitlanding/tests/load/allotment_world.py
+++ b/godwitlanding/tests/load/allotment_world.py
@@ -201,7 +201,7 @@
     def _hear(self, now, vm, sender, incarnation, told):
         if vm.up:
             vm.quorum.note(sender.name, True, sender.quorum.count_heard(now), now)
-            vm.way.hear(sender.name, incarnation, told, now)
+            vm.way.receive(sender.name, incarnation, told, now)
 
     def _tell_region(self, now, region):
         self._at(now + DIGEST_S, self._tell_region, region)
--- a/godwitlanding/tests/load/gateway_model.py
+++ b/godwitlanding/tests/load/gateway_model.py
@@ -153,7 +153,7 @@
         same = vm.settings.region == self._vm_by_host[sender].settings.region
         delay_s = ZONE_S if same else REGION_S
         loop = asyncio.get_running_loop()
-        loop.call_later(delay_s, vm.program.peers.hear, data, sender)
+        loop.call_later(delay_s, vm.program.peers.receive, data, sender)
 
     async def play(self, seconds, times=1.0):
         """Let callers ask for so long; ``times`` the usual rates."""
--- a/godwitlanding/tests/support_fleet.py
+++ b/godwitlanding/tests/support_fleet.py
@@ -54,5 +54,5 @@
     """Return a fleet that has received ``messages``."""
     fleet = Fleet()
     for message in messages:
-        fleet.hear(message, f"{message.vm}:1", 0.0)
+        fleet.receive(message, f"{message.vm}:1", 0.0)
     return fleet
