--- a/godwitlanding/daemons/arbiter.py
+++ b/godwitlanding/daemons/arbiter.py
@@ -20,7 +20,7 @@
 from godwitlanding.base.codes import RUN_NO, RUN_UNKNOWN, Code, Refusal
 from godwitlanding.daemons.decision import Ask, Decision, Grant, Spill
 from godwitlanding.daemons.intake import Intake
-from godwitlanding.daemons.permits import Permit, PermitBook, Teacher
+from godwitlanding.daemons.permits import OpenPermits, OutcomeRecorder, Permit
 from godwitlanding.daemons.pool import Pool
 from godwitlanding.decisions.admission import Admission
 from godwitlanding.decisions.longjobs import LongJobs
@@ -33,7 +33,7 @@
 DEFAULT_SLOW_START_S = 10.0
 # Requests at the head that may use none of the free upstreams are passed
 # over, this many at most, so that a decision's cost stays bounded.
-MAX_PASSED_OVER = 8
+MAX_SKIPPED = 8
 SUSPECT_RETRY_AFTER_S = 1.0
 
 __all__ = ["Arbiter", "Ask", "Decision", "Grant", "Spill"]
@@ -63,9 +63,9 @@
         self.outliers = OutlierDetector()
         self.warmup = Warmup(slow_start_s)
         self.pool = Pool(self.warmup)
-        self._permits = PermitBook(self.pool)
+        self._permits = OpenPermits(self.pool)
         self._intake = Intake(self.pool, self.admission, self.long_jobs, self.spill)
-        self._teacher = Teacher(
+        self._outcome_recorder = OutcomeRecorder(
             self.pool, self.outliers, self.poison, self.admission, self.long_jobs
         )
         self._next_permit_id = first_permit_id
@@ -137,18 +137,20 @@
         """Queue a request; the decisions may hold its own."""
         decisions = self.tick(now)
         if ask.deadline <= now:
-            refusal = Refusal(Code.DEADLINE_UNREACHABLE, self._intake.get_return(now))
+            refusal = Refusal(
+                Code.DEADLINE_UNREACHABLE, self._intake.estimate_retry_after_s(now)
+            )
             return decisions + [Decision(ask.request_id, refusal)]
         poisoned = self._check_poison(ask, now)
         if poisoned:
             return decisions + [Decision(ask.request_id, poisoned)]
         if ask.request_id in self._intake.queue:
             return decisions
-        waiting = self._intake.add(ask, now)
+        queued_request = self._intake.add(ask, now)
         decisions += self._grant_waiting(now)
         if ask.request_id in self._intake.queue:
             excluded = self._get_excluded(ask, now)
-            decisions += self._intake.bound(waiting, excluded, now)
+            decisions += self._intake.enforce_wait_limits(queued_request, excluded, now)
         return decisions
 
     def withdraw(self, request_id, now):
@@ -161,7 +163,7 @@
         permit = self._permits.get(permit_id)
         if permit:
             self._permits.close(permit_id, now)
-            self._teacher.note(permit, outcome, took_s, now)
+            self._outcome_recorder.note(permit, outcome, took_s, now)
         return self.tick(now)
 
     def end_spill(self, request_id, now):
@@ -185,7 +187,7 @@
         self.pool.run_timers(now)
         if self.pool.usable_slots == 0:
             self.pool.lift_ejections(now)
-        refused = self._intake.end_waits(now)
+        refused = self._intake.expire_requests(now)
         return self._grant_waiting(now) + refused
 
     def get_status(self, now):
@@ -206,43 +208,45 @@
 
     def _grant_waiting(self, now):
         decisions = []
-        passed_over = []
-        while len(passed_over) < MAX_PASSED_OVER and self._has_free(now):
-            waiting = self._intake.take_first(self._permits.long_count)
-            if waiting is None:
+        skipped = []
+        while len(skipped) < MAX_SKIPPED and self._has_free_slot(now):
+            queued_request = self._intake.take_first(self._permits.long_count)
+            if queued_request is None:
                 break
-            outcome = self._place(waiting, now)
+            outcome = self._decide(queued_request, now)
             if outcome is None:
-                passed_over.append(waiting)
+                skipped.append(queued_request)
             else:
-                decisions.append(Decision(waiting.ask.request_id, outcome))
-        for waiting in passed_over:
-            self._intake.put_back(waiting)
+                decisions.append(Decision(queued_request.ask.request_id, outcome))
+        for queued_request in skipped:
+            self._intake.put_back(queued_request)
         return decisions
 
-    def _has_free(self, now):
-        if self.pool.has_free(may_be_reluctant=False):
+    def _has_free_slot(self, now):
+        if self.pool.has_free(include_reluctant=False):
             return True
-        return self.pool.has_free() and self._intake.is_pressed(now)
+        return self.pool.has_free() and self._intake.should_use_reluctant(now)
 
-    def _place(self, waiting, now):
-        ask = waiting.ask
+    def _decide(self, queued_request, now):
+        ask = queued_request.ask
         poisoned = self._check_poison(ask, now)
         if poisoned:
             return poisoned
         upstream = self.pool.find_free(self._get_excluded(ask, now), now)
         if upstream is None:
             return None
-        self._intake.queue.note_served(waiting)
-        return self._grant(waiting, upstream, now)
+        self._intake.queue.note_served(queued_request)
+        return self._grant(queued_request, upstream, now)
 
-    def _grant(self, waiting, upstream, now):
-        ask = waiting.ask
-        permit = Permit(upstream.id, now, ask.fingerprint, waiting.is_long)
+    def _grant(self, queued_request, upstream, now):
+        ask = queued_request.ask
+        permit = Permit(upstream.id, now, ask.fingerprint, queued_request.is_long)
         permit_id = self._next_permit_id
         self._next_permit_id += 1
         self._permits.open(permit_id, permit, ask.deadline, now)
-        return Grant(permit_id, upstream.id, ask.deadline, now - waiting.asked_at)
+        return Grant(
+            permit_id, upstream.id, ask.deadline, now - queued_request.asked_at
+        )
 
     def _check_poison(self, ask, now):
         if not ask.fingerprint or not self.poison.is_suspect(ask.fingerprint, now):
--- a/godwitlanding/daemons/blockstore.py
+++ b/godwitlanding/daemons/blockstore.py
@@ -37,7 +37,7 @@
 _HEAD = struct.Struct("<4sII")
 _PIECE_MAGIC = b"GWP1"
 _DELTA_MAGIC = b"GWD1"
-_LEVEL = 6
+_COMPRESSION_LEVEL = 6
 # A piece is at most one megabyte packed; more is not one of ours.
 _MAX_PACKED_BYTES = 8_000_000
 
@@ -59,18 +59,18 @@
 
 def format_piece(piece, generation):
     """Return the value of a piece's object."""
-    steps = array(START, piece.starts[:1])
-    steps.extend(b - a for a, b in zip(piece.starts, piece.starts[1:]))
-    columns = _split_columns(steps) + _split_columns(piece.groups)
+    differences = array(START, piece.starts[:1])
+    differences.extend(b - a for a, b in zip(piece.starts, piece.starts[1:]))
+    columns = _split_columns(differences) + _split_columns(piece.groups)
     return _pack(_PIECE_MAGIC, generation, len(piece.starts), columns)
 
 
 def parse_piece(body):
     """Return ``(generation, piece)``; ``ValueError`` if it is none."""
     generation, count, columns = _unpack(_PIECE_MAGIC, body, 6)
-    steps = _join_columns(START, columns[: 4 * count], count)
+    differences = _join_columns(START, columns[: 4 * count], count)
     try:
-        starts = array(START, accumulate(steps))
+        starts = array(START, accumulate(differences))
     except OverflowError as error:
         raise ValueError("starts past the last address") from error
     groups = _join_columns(GROUP, columns[4 * count :], count)
@@ -171,14 +171,14 @@
         self.table = BlockTable(self._piece_by_key[key] for key in keys)
         self.sites = self._marker.sites
         self._assembled_marker = self._marker
-        self._forget_older_pieces()
+        self._drop_older_pieces()
         self.applied = self._marker.folded
         for number in [n for n in self._delta_by_number if n <= self.applied]:
             del self._delta_by_number[number]
         self._apply_deltas()
         return True
 
-    def _forget_older_pieces(self):
+    def _drop_older_pieces(self):
         # Newer ones wait for the marker that is to name them.
         generations = self._marker.generation_by_piece
         for name, generation in list(self._piece_by_key):
@@ -219,7 +219,7 @@
 
 def _pack(magic, number, count, columns):
     head = _HEAD.pack(magic, number, count)
-    return base64.b64encode(head + zlib.compress(columns, _LEVEL))
+    return base64.b64encode(head + zlib.compress(columns, _COMPRESSION_LEVEL))
 
 
 def _unpack(magic, body, row_bytes):
--- a/godwitlanding/daemons/borrower.py
+++ b/godwitlanding/daemons/borrower.py
@@ -13,7 +13,7 @@
 from godwitlanding.daemons.loan import CLOCK_RATE_MARGIN
 
 
-class Gain(NamedTuple):
+class BorrowedUpstream(NamedTuple):
     """An upstream that the arbiter may use until ``until``.
 
     ``blocked_s`` is how long to grant nothing on it unless every one of
@@ -35,8 +35,8 @@
         self._service = service
         self._until_by_upstream_by_owner = {}
         self._holders = set()
-        self._told_by_owner = {}
-        self._question_by_owner = {}
+        self._known_holders_by_owner = {}
+        self._last_request_by_owner = {}
         self._number = 0
 
     def add_holder(self, holder):
@@ -53,15 +53,15 @@
         A lender that does not know it could not name it to the next
         arbiter, which would then not ask it and grant its slots twice.
         """
-        return holder in self._holders and not self.get_untold(holder, now)
+        return holder in self._holders and not self.get_uninformed_lenders(holder, now)
 
-    def get_untold(self, holder, now):
+    def get_uninformed_lenders(self, holder, now):
         """Return the lenders that do not know ``holder`` yet."""
         return [
             owner
             for owner, until_by_upstream in self._until_by_upstream_by_owner.items()
             if any(until > now for until in until_by_upstream.values())
-            and holder not in self._told_by_owner.get(owner, ())
+            and holder not in self._known_holders_by_owner.get(owner, ())
         ]
 
     def make_loan(self, owner, now):
@@ -69,7 +69,7 @@
         until_by_upstream = self._until_by_upstream_by_owner.get(owner, {})
         holding = [u for u, until in until_by_upstream.items() if until > now]
         self._number += 1
-        self._question_by_owner[owner] = self._number
+        self._last_request_by_owner[owner] = self._number
         return Loan(
             self._arbiter,
             self._service,
@@ -83,13 +83,13 @@
         self._number += 1
         return GiveBack(self._arbiter, self._service, self._number)
 
-    def take_lent(self, owner, loan, lent, asked_at, longest_permit_s, now):
+    def accept_lent(self, owner, loan, lent, asked_at, longest_permit_s, now):
         """Take an owner's answer; return the gains and the upstreams lost.
 
         Only the answer to the last question counts: an earlier one may list
         what the owner has taken as given back since.
         """
-        if self._question_by_owner.get(owner) != loan.number:
+        if self._last_request_by_owner.get(owner) != loan.number:
             return [], []
         # A holder that came while the question was under way: this lender
         # does not know it, and could not name it to the next arbiter.
@@ -100,21 +100,21 @@
         gains = []
         for upstream, former in zip(lent.upstreams, lent.former_arbiters):
             is_new = before.get(upstream, 0.0) <= now or former != self._arbiter
-            gain = Gain(upstream, until, is_new)
+            gain = BorrowedUpstream(upstream, until, is_new)
             if former not in (self._arbiter, FORMER_NONE):
                 asks = lent.holders if former else None
                 blocked_s = longest_permit_s * CLOCK_RATE_MARGIN
-                gain = Gain(upstream, until, True, blocked_s, asks)
+                gain = BorrowedUpstream(upstream, until, True, blocked_s, asks)
             gains.append(gain)
         now_held = dict.fromkeys(lent.upstreams, until)
         self._until_by_upstream_by_owner[owner] = now_held
-        self._told_by_owner[owner] = frozenset(loan.holders)
+        self._known_holders_by_owner[owner] = frozenset(loan.holders)
         return gains, sorted(set(before) - set(now_held))
 
     def drop_owner(self, owner):
         """Use nothing more of an owner; return its upstreams."""
-        self._told_by_owner.pop(owner, None)
-        self._question_by_owner.pop(owner, None)
+        self._known_holders_by_owner.pop(owner, None)
+        self._last_request_by_owner.pop(owner, None)
         return sorted(self._until_by_upstream_by_owner.pop(owner, {}))
 
     def get_owners(self):
--- a/godwitlanding/daemons/fleet.py
+++ b/godwitlanding/daemons/entrytargets.py
@@ -37,12 +37,12 @@
 
 def parse_vms(body):
     """Return the rows in a ``vms`` state; ``ValueError`` if it is none."""
-    return tuple(_read_rows(VmRow, body, "vms"))
+    return tuple(_parse_rows(VmRow, body, "vms"))
 
 
 def parse_members(body):
     """Return the members in a ``members`` state; ``ValueError`` if none."""
-    return tuple(_read_rows(Member, body, "members"))
+    return tuple(_parse_rows(Member, body, "members"))
 
 
 def parse_leaving_vms(body):
@@ -53,7 +53,7 @@
         raise ValueError(f"not a summary: {error}") from error
 
 
-def _read_rows(cls, body, key):
+def _parse_rows(cls, body, key):
     # Fields that a newer process adds must not stop an older one.
     try:
         rows = json.loads(body)[key]
@@ -71,8 +71,8 @@
     ``availability_zone`` is one's own, whose ``members`` are known better
     than the platform's list knows them.
     """
-    out = {vm.vm for vm in vms if vm.state != STATE_LIVE}
-    out |= leaving_vms | drained_vms
+    excluded = {vm.vm for vm in vms if vm.state != STATE_LIVE}
+    excluded |= leaving_vms | drained_vms
     targets = [
         make_target(vm.vm, vm.address, vm.availability_zone)
         for vm in vms
@@ -84,7 +84,7 @@
     ]
     targets_by_zone = {}
     for target in targets:
-        if target.vm not in out:
+        if target.vm not in excluded:
             targets_by_zone.setdefault(target.availability_zone, []).append(target)
     return {zone: tuple(found) for zone, found in targets_by_zone.items()}
 
--- a/godwitlanding/daemons/forward.py
+++ b/godwitlanding/daemons/forward.py
@@ -66,9 +66,13 @@
     if key is None:
         return None
     idempotency_key = value_by_name.get(names.IDEMPOTENCY_KEY.lower(), "")
-    good = _sign(key, forward, method, target, idempotency_key)
-    given = value_by_name.get(names.SIGNATURE.lower(), "")
-    return forward if hmac.compare_digest(good.encode(), given.encode()) else None
+    expected_signature = _sign(key, forward, method, target, idempotency_key)
+    received_signature = value_by_name.get(names.SIGNATURE.lower(), "")
+    return (
+        forward
+        if hmac.compare_digest(expected_signature.encode(), received_signature.encode())
+        else None
+    )
 
 
 def _read_kind(value_by_name):
--- a/godwitlanding/daemons/holdings.py
+++ b/godwitlanding/daemons/holdings.py
@@ -46,7 +46,7 @@
     ask_id: str
 
 
-class PermitBook:
+class HeldPermits:
     """Open permits of one process, and the arbiter heeded by upstream."""
 
     def __init__(self, start_s):
@@ -81,8 +81,10 @@
         Validity counts from when this process asked, which is before the
         arbiter granted, so the holder's view always ends first.
         """
-        heeded = self._arbiter_by_upstream.get(granted.upstream, granted.arbiter)
-        if heeded != granted.arbiter:
+        current_arbiter = self._arbiter_by_upstream.get(
+            granted.upstream, granted.arbiter
+        )
+        if current_arbiter != granted.arbiter:
             return Err(STALE)
         permit = Permit(
             granted.permit_id,
@@ -105,11 +107,13 @@
         The process may have been paused since it accepted the permit; the
         arbiter may meanwhile have given the slot to another.
         """
-        heeded = self._arbiter_by_upstream.get(permit.upstream, permit.arbiter)
+        current_arbiter = self._arbiter_by_upstream.get(permit.upstream, permit.arbiter)
         is_open = (permit.arbiter, permit.permit_id) in self._permit_by_key
         # One that is still open was reported in ``answer``, so the new
         # arbiter counts it: whom the process heeds by now does not matter.
-        return (is_open or heeded == permit.arbiter) and self._is_current(permit, now)
+        return (is_open or current_arbiter == permit.arbiter) and self._is_current(
+            permit, now
+        )
 
     def end(self, permit):
         """Forget a permit that is given back."""
--- a/godwitlanding/daemons/intake.py
+++ b/godwitlanding/daemons/intake.py
@@ -40,7 +40,7 @@
         """Queue a request; return its ``Waiting``."""
         expected_s = ask.expected_s or self._long_jobs.get_expected_s(ask.fingerprint)
         start_by = self._get_start_by(ask, now)
-        waiting = self.queue.add(
+        queued_request = self.queue.add(
             ask,
             now,
             start_by,
@@ -48,19 +48,19 @@
             bound_cost(expected_s, self._admission.work_time.mean_s),
         )
         self._timers.set(("ask", ask.request_id), start_by)
-        return waiting
+        return queued_request
 
     def take_first(self, long_count):
         """Take out who is next, or ``None``; ``long_count`` long jobs run."""
         slots = self._pool.usable_slots
         may_take_long = self._long_jobs.may_start(long_count, slots)
-        waiting = self.queue.get_first(may_take_long)
-        if waiting:
-            self.queue.remove(waiting.ask.request_id)
-            self._timers.cancel(("ask", waiting.ask.request_id))
-        return waiting
+        queued_request = self.queue.get_first(may_take_long)
+        if queued_request:
+            self.queue.remove(queued_request.ask.request_id)
+            self._timers.cancel(("ask", queued_request.ask.request_id))
+        return queued_request
 
-    def is_pressed(self, now):
+    def should_use_reluctant(self, now):
         """Tell whether to use reluctant slots rather than wait for others.
 
         Where not, ``get_next_time`` tells when the next request has waited
@@ -71,33 +71,37 @@
         if first is None:
             return False
         may_wait_s = PRESSED_SHARE * (first.start_by - first.asked_at)
-        press_at = first.asked_at + may_wait_s
+        reluctant_at = first.asked_at + may_wait_s
         eager = self._pool.eager_slots
         wait_s = self._admission.get_wait_s(len(self.queue) - 1, eager)
-        if eager <= 0 or wait_s >= may_wait_s or now >= press_at:
+        if eager <= 0 or wait_s >= may_wait_s or now >= reluctant_at:
             return True
-        self._timers.set(("press", ""), press_at)
+        self._timers.set(("press", ""), reluctant_at)
         return False
 
-    def put_back(self, waiting):
+    def put_back(self, queued_request):
         """Queue again, in its old place, what ``take_first`` took out."""
-        self.queue.put_back(waiting)
-        self._timers.set(("ask", waiting.ask.request_id), waiting.start_by)
+        self.queue.put_back(queued_request)
+        self._timers.set(
+            ("ask", queued_request.ask.request_id), queued_request.start_by
+        )
 
-    def bound(self, waiting, excluded, now):
+    def enforce_wait_limits(self, queued_request, excluded, now):
         """Give up the newcomer or those it displaces, where all are late."""
         if self._pool.usable_slots == 0:
             is_hopeless = not self._pool.may_recover()
         else:
             is_hopeless = self._pool.is_all_excluded(excluded)
         if is_hopeless:
-            return [self._give_up(waiting, Code.NO_UPSTREAM, now)]
-        admit_by = now + (waiting.start_by - now) / PATIENCE
-        if now + self._estimate_wait_s(waiting) > admit_by:
-            return [self._give_up(waiting, self._get_full_code(waiting), now)]
-        return self._displace(waiting, now)
-
-    def end_waits(self, now):
+            return [self._reject(queued_request, Code.NO_UPSTREAM, now)]
+        admit_by = now + (queued_request.start_by - now) / PATIENCE
+        if now + self._estimate_wait_s(queued_request) > admit_by:
+            return [
+                self._reject(queued_request, self._get_full_code(queued_request), now)
+            ]
+        return self._displace(queued_request, now)
+
+    def expire_requests(self, now):
         """Give up those whose time to start is over."""
         self._last_slots = self._pool.usable_slots or self._last_slots
         code = Code.DEADLINE_UNREACHABLE
@@ -107,19 +111,19 @@
         for kind, request_id in self._timers.pop_due(now):
             if kind == "press":
                 continue
-            waiting = self.queue.get(request_id)
-            if waiting:
-                decisions.append(self._give_up(waiting, code, now))
+            queued_request = self.queue.get(request_id)
+            if queued_request:
+                decisions.append(self._reject(queued_request, code, now))
             else:
                 self._spill.end(request_id)
         return decisions
 
     def withdraw(self, request_id):
         """Forget a request whose caller has gone."""
-        waiting = self.queue.remove(request_id)
-        if waiting:
+        queued_request = self.queue.remove(request_id)
+        if queued_request:
             self._timers.cancel(("ask", request_id))
-            self.queue.note_refused(waiting)
+            self.queue.note_refused(queued_request)
 
     def end_spill(self, request_id):
         """The request that was passed on has ended."""
@@ -130,7 +134,7 @@
         """Return when ``end_waits`` is due, or ``None``."""
         return self._timers.get_next_time()
 
-    def get_return(self, now):
+    def estimate_retry_after_s(self, now):
         """Return in how many seconds a refused caller should come back."""
         queued = len(self.queue)
         return self._admission.get_retry_after_s(now, queued, self._last_slots)
@@ -146,34 +150,34 @@
             last = self.queue.get_last()
             if last is newcomer or now + self._estimate_wait_s(last) <= last.start_by:
                 break
-            decisions.append(self._give_up(last, Code.DISPLACED, now))
+            decisions.append(self._reject(last, Code.DISPLACED, now))
         return decisions
 
-    def _estimate_wait_s(self, waiting):
+    def _estimate_wait_s(self, queued_request):
         slots = self._last_slots
-        ahead = self.queue.count_ahead(waiting)
+        ahead = self.queue.count_ahead(queued_request)
         wait_s = self._admission.get_wait_s(ahead, slots)
-        if waiting.is_long:
-            ahead = self.queue.count_long_ahead(waiting)
+        if queued_request.is_long:
+            ahead = self.queue.count_long_ahead(queued_request)
             limit = self._long_jobs.get_limit(slots)
             long_s = self._long_jobs.mean_long_s
             wait_s = max(wait_s, self._admission.get_wait_s(ahead, limit, long_s))
         return wait_s
 
-    def _get_full_code(self, waiting):
-        if self.queue.is_over_share(waiting.ask.caller):
+    def _get_full_code(self, queued_request):
+        if self.queue.is_over_share(queued_request.ask.caller):
             return Code.CALLER_OVER_SHARE
         return Code.QUEUE_FULL
 
-    def _give_up(self, waiting, code, now):
-        ask = waiting.ask
+    def _reject(self, queued_request, code, now):
+        ask = queued_request.ask
         self.queue.remove(ask.request_id)
-        self.queue.note_refused(waiting)
+        self.queue.note_refused(queued_request)
         self._timers.cancel(("ask", ask.request_id))
-        waited_s = now - waiting.asked_at
+        waited_s = now - queued_request.asked_at
         if ask.may_pass_on and ask.deadline - now > self._admission.work_time.mean_s:
             zone = self._spill.take(ask.request_id, now)
             if zone:
                 self._timers.set(("spill", ask.request_id), ask.deadline)
                 return Decision(ask.request_id, Spill(zone, waited_s))
-        return Decision(ask.request_id, Refusal(code, self.get_return(now)))
+        return Decision(ask.request_id, Refusal(code, self.estimate_retry_after_s(now)))
--- a/godwitlanding/daemons/journal.py
+++ b/godwitlanding/daemons/journal.py
@@ -24,7 +24,7 @@
 from result import Err, Ok
 
 from godwitlanding.base.codes import Code, make_refusal
-from godwitlanding.daemons.journaltext import (
+from godwitlanding.daemons.journalformat import (
     CLAIMED,
     DONE,
     MAX_JOURNAL_BYTES,
@@ -38,10 +38,10 @@
 
 STILL_RUNNING_RETRY_S = 1.0
 # Rarely enough that making room costs nothing a press.
-ROOMY_BYTES = MAX_JOURNAL_BYTES * 3 // 4
+TARGET_BYTES = MAX_JOURNAL_BYTES * 3 // 4
 # A full journal keeps outcomes for a shorter time, but for this long: a
 # caller that got no answer presses again within seconds.
-LEAST_KEPT_S = 120
+MIN_KEPT_S = 120
 
 
 class Claim:
@@ -97,18 +97,18 @@
         """
         held = self._claim_by_nonce.get(ticket.nonce)
         if held:
-            return _judge(held.entry, fingerprint, is_ours=True)
+            return _check_record(held.entry, fingerprint, is_ours=True)
         for closed in former:
             entry = closed.entry_by_nonce.get(ticket.nonce)
             if entry:
-                return _judge(entry, fingerprint, is_ours=False)
+                return _check_record(entry, fingerprint, is_ours=False)
         forgotten_s = max([self.forgotten_s, *(old.forgotten_s for old in former)])
         if ticket.issued_s <= forgotten_s:
             return Err(make_refusal(Code.TICKET_EXPIRED))
         if ticket.kind == JOURNALED and self.closed_by:
             return Err(make_refusal(Code.JOURNAL_UNAVAILABLE, 1.0, "journal closed"))
         if self._size > MAX_JOURNAL_BYTES:
-            self._make_room(ticket.issued_s)
+            self._free_space(ticket.issued_s)
         if self._size > MAX_JOURNAL_BYTES:
             return Err(make_refusal(Code.JOURNAL_UNAVAILABLE, 60.0, "journal full"))
         return Ok(self._add(ticket, fingerprint))
@@ -165,12 +165,12 @@
                 self._drop_body(claim)
 
     @property
-    def is_waiting(self):
+    def has_waiting_claims(self):
         """Tell whether a claim waits for a write."""
         return bool(self._waiting)
 
     @property
-    def is_unsettled(self):
+    def has_unresolved_writes(self):
         """Tell whether a write's answer was lost: read back, then settle."""
         return bool(self._write_by_number)
 
@@ -212,7 +212,7 @@
         self._write_by_number.pop(write.number, None)
         self.is_dirty = True
 
-    def settle(self, stored):
+    def reconcile(self, stored):
         """Learn from reading back what became of writes without an answer.
 
         ``stored`` is the platform's object, ``None`` for none. Where it is
@@ -255,20 +255,20 @@
             "closed_by": self.closed_by.incarnation if self.closed_by else "",
         }
 
-    def _make_room(self, now_s):
+    def _free_space(self, now_s):
         """Drop the oldest bodies, then the oldest records, for some room.
 
         Work that comes faster than its records may be forgotten would
         else be refused for minutes while slots stand idle.
         """
         for claim in self._claim_by_nonce.values():
-            if self._size <= ROOMY_BYTES:
+            if self._size <= TARGET_BYTES:
                 return
             self._drop_body(claim)
-        mark_s = self._find_mark(self._size - ROOMY_BYTES)
-        self.forget(min(mark_s, now_s - LEAST_KEPT_S))
+        cutoff_s = self._find_cutoff_s(self._size - TARGET_BYTES)
+        self.forget(min(cutoff_s, now_s - MIN_KEPT_S))
 
-    def _find_mark(self, excess_bytes):
+    def _find_cutoff_s(self, excess_bytes):
         """Return the second up to which records hold ``excess_bytes``."""
         claims = sorted(self._claim_by_nonce.values(), key=_get_issued_s)
         for claim in claims:
@@ -327,7 +327,7 @@
     return claim.entry.issued_s
 
 
-def _judge(entry, fingerprint, is_ours):
+def _check_record(entry, fingerprint, is_ours):
     if entry.fingerprint != fingerprint:
         return Err(make_refusal(Code.TICKET_MISMATCH))
     if entry.state == DONE:
--- a/godwitlanding/daemons/journaltext.py
+++ b/godwitlanding/daemons/journalformat.py
@@ -44,7 +44,7 @@
     incarnation: str
 
 
-class JournalText(NamedTuple):
+class StoredJournal(NamedTuple):
     """A journal as read from the platform."""
 
     incarnation: str
@@ -82,7 +82,7 @@
         if text["format"] != FORMAT:
             raise ValueError(f"journal of format {text['format']}")
         closed_by = text["closed_by"]
-        return JournalText(
+        return StoredJournal(
             text["incarnation"],
             text["number"],
             Closer(*closed_by) if closed_by else None,
--- a/godwitlanding/daemons/keyrecord.py
+++ b/godwitlanding/daemons/keyrecord.py
@@ -8,7 +8,7 @@
 import json
 from typing import NamedTuple
 
-from godwitlanding.daemons.journaltext import CLAIMED, Outcome, parse_outcome
+from godwitlanding.daemons.journalformat import CLAIMED, Outcome, parse_outcome
 
 MAX_KEY_CHARS = 255
 
--- a/godwitlanding/daemons/loan.py
+++ b/godwitlanding/daemons/loan.py
@@ -70,7 +70,7 @@
         for upstream, handover in handover_by_upstream.items():
             owned = self._owned_by_upstream.get(upstream)
             if owned is None or owned.handover != handover:
-                self._owned_by_upstream[upstream] = self._take(handover, now)
+                self._owned_by_upstream[upstream] = self._make_owned(handover, now)
 
     def get_owned(self):
         """Return the upstreams of this owner."""
@@ -79,7 +79,7 @@
     def lend(self, loan, upstreams, longest_permit_s, now):
         """Answer a ``Loan`` for the owner's ``upstreams`` of its service."""
         known = self._list_holders(now, longest_permit_s)
-        if self._is_late(loan):
+        if self._is_outdated(loan):
             return Lent((), 0.0)
         for holder in loan.holders:
             self._reported_by_holder[holder] = now
@@ -89,11 +89,11 @@
             owned = self._owned_by_upstream.get(upstream)
             if owned is None:
                 continue
-            self._note_holding(owned, upstream, loan)
+            self._update_confirmation(owned, upstream, loan)
             if not self._may_lend(owned, loan.arbiter, now):
                 continue
             if owned.borrower != loan.arbiter:
-                owned.former = self._get_last(owned, longest_permit_s, now)
+                owned.former = self._get_last_borrower(owned, longest_permit_s, now)
                 owned.borrower = loan.arbiter
                 owned.is_confirmed = False
             lent.append(upstream)
@@ -103,7 +103,7 @@
 
     def give_back(self, message, upstreams):
         """End the loans of ``upstreams`` to an arbiter that uses none."""
-        if self._is_late(message):
+        if self._is_outdated(message):
             return
         for upstream in upstreams:
             owned = self._owned_by_upstream.get(upstream)
@@ -125,7 +125,7 @@
     def make_handover(self, upstream, to_incarnation, longest_permit_s, now):
         """Return what the next owner has to know."""
         owned = self._owned_by_upstream[upstream]
-        former = self._get_last(owned, longest_permit_s, now)
+        former = self._get_last_borrower(owned, longest_permit_s, now)
         # A borrower that may never have got the loan has not asked about
         # the permits of the one before: nobody knows them.
         if owned.borrower and not owned.is_confirmed:
@@ -144,7 +144,7 @@
             for upstream, owned in sorted(self._owned_by_upstream.items())
         }
 
-    def _take(self, handover, now):
+    def _make_owned(self, handover, now):
         if handover is None or handover.to_incarnation != self._incarnation:
             wait_s = self._loan_s * CLOCK_RATE_MARGIN
             return _Owned(handover, "", self._started_at + wait_s)
@@ -152,7 +152,7 @@
             self._reported_by_holder[holder] = now
         return _Owned(handover, handover.former_arbiter, now)
 
-    def _is_late(self, message):
+    def _is_outdated(self, message):
         # A message of a connection that broke may be read after those of
         # the next one. What it lists as not in use may be in use by now.
         key = (message.arbiter, message.service)
@@ -161,7 +161,7 @@
         self._number_by_arbiter[key] = message.number
         return False
 
-    def _note_holding(self, owned, upstream, loan):
+    def _update_confirmation(self, owned, upstream, loan):
         if owned.borrower != loan.arbiter:
             return
         if upstream in loan.holding:
@@ -180,7 +180,7 @@
         """Return whom the borrower has to think of: itself if it had it."""
         return owned.borrower if owned.is_confirmed else owned.former
 
-    def _get_last(self, owned, longest_permit_s, now):
+    def _get_last_borrower(self, owned, longest_permit_s, now):
         if owned.borrower or owned.former:
             return owned.borrower or owned.former
         all_ended_at = owned.may_lend_at + longest_permit_s * CLOCK_RATE_MARGIN
--- a/godwitlanding/daemons/membership.py
+++ b/godwitlanding/daemons/membership.py
@@ -36,7 +36,7 @@
     listed: bool
 
 
-class _Heard(NamedTuple):
+class _LastHeartbeat(NamedTuple):
     at: float
     heartbeat: tuple
 
@@ -52,23 +52,23 @@
         self._availability_zone = availability_zone
         self._timeout_s = timeout_s
         self._started_at = started_at
-        self._heard_by_vm = {}
+        self._last_heartbeat_by_vm = {}
 
-    def take_list(self, vm_list, now):
+    def update_vm_list(self, vm_list, now):
         """Take a list of VMs; an older one than the last is passed over."""
         if vm_list.version < self.vm_list.version:
             return False
         self.vm_list = vm_list
         listed = {entry.vm for entry in vm_list.vms}
-        for vm, heard in list(self._heard_by_vm.items()):
+        for vm, heard in list(self._last_heartbeat_by_vm.items()):
             if vm not in listed and now - heard.at > FORGET_AFTER_S:
-                del self._heard_by_vm[vm]
+                del self._last_heartbeat_by_vm[vm]
         return True
 
-    def take_heartbeat(self, heartbeat, now):
+    def record_heartbeat(self, heartbeat, now):
         """Note a member's sign of life; ``True`` if it is news to the zone."""
-        former = self._heard_by_vm.get(heartbeat.vm)
-        self._heard_by_vm[heartbeat.vm] = _Heard(now, heartbeat)
+        former = self._last_heartbeat_by_vm.get(heartbeat.vm)
+        self._last_heartbeat_by_vm[heartbeat.vm] = _LastHeartbeat(now, heartbeat)
         if former is None or now - former.at > self._timeout_s:
             return True
         return _identity(former.heartbeat) != _identity(heartbeat)
@@ -82,11 +82,13 @@
                 member_by_vm[entry.vm] = Member(
                     entry.vm, entry.address, "", "", False, leaving, False, True
                 )
-        for vm, heard in self._heard_by_vm.items():
+        for vm, heard in self._last_heartbeat_by_vm.items():
             alive = now - heard.at <= self._timeout_s
             if alive or vm in member_by_vm:
-                member_by_vm[vm] = _join(member_by_vm.get(vm), heard, alive)
-        own = _join(member_by_vm.get(self.vm), _Heard(now, own_heartbeat), True)
+                member_by_vm[vm] = _merge(member_by_vm.get(vm), heard, alive)
+        own = _merge(
+            member_by_vm.get(self.vm), _LastHeartbeat(now, own_heartbeat), True
+        )
         member_by_vm[self.vm] = own
         return member_by_vm
 
@@ -100,11 +102,11 @@
         }
         vms |= {
             vm
-            for vm, heard in self._heard_by_vm.items()
+            for vm, heard in self._last_heartbeat_by_vm.items()
             if now - heard.at <= self._timeout_s
         }
         for vm in vms - {self.vm}:
-            heard = self._heard_by_vm.get(vm)
+            heard = self._last_heartbeat_by_vm.get(vm)
             held = 0
             for row in heard.heartbeat.versions if heard else ():
                 if (row.kind, row.name) == (kind, name):
@@ -125,7 +127,7 @@
             for entry in self.vm_list.vms
             if entry.availability_zone == self._availability_zone
         }
-        return bool(listed) and listed <= set(self._heard_by_vm) | {self.vm}
+        return bool(listed) and listed <= set(self._last_heartbeat_by_vm) | {self.vm}
 
     def is_gone(self, vm, now):
         """Tell whether the platform's list lacks ``vm`` and it is silent."""
@@ -133,7 +135,7 @@
             return False
         if any(entry.vm == vm for entry in self.vm_list.vms):
             return False
-        heard = self._heard_by_vm.get(vm)
+        heard = self._last_heartbeat_by_vm.get(vm)
         return heard is None or now - heard.at > self._timeout_s
 
 
@@ -185,7 +187,7 @@
     )
 
 
-def _join(listed, heard, alive):
+def _merge(listed, heard, alive):
     heartbeat = heard.heartbeat
     return Member(
         vm=heartbeat.vm,
--- a/godwitlanding/daemons/permits.py
+++ b/godwitlanding/daemons/permits.py
@@ -28,7 +28,7 @@
 SHED_PAUSE_S = 0.25
 LEAVING_PAUSE_S = 2.0
 # Outcomes after which the time held tells what a slot serves.
-_WORKED = frozenset({OUTCOME_OK, OUTCOME_TIMEOUT, OUTCOME_CANCELLED})
+_WORK_TIME_OUTCOMES = frozenset({OUTCOME_OK, OUTCOME_TIMEOUT, OUTCOME_CANCELLED})
 
 
 class Permit(NamedTuple):
@@ -40,7 +40,7 @@
     is_long: bool
 
 
-class PermitBook:
+class OpenPermits:
     """Open permits by id."""
 
     def __init__(self, pool):
@@ -95,7 +95,7 @@
         return self._timers.get_next_time()
 
 
-class Teacher:
+class OutcomeRecorder:
     """Passes the outcome of a permit to the modules that learn from it."""
 
     def __init__(self, pool, outliers, poison, admission, long_jobs):
@@ -109,7 +109,7 @@
         """Learn from a permit that its holder has released."""
         held_s = took_s if permit.granted_at is None else now - permit.granted_at
         took_s = took_s or held_s
-        if outcome in _WORKED and held_s > 0:
+        if outcome in _WORK_TIME_OUTCOMES and held_s > 0:
             self._admission.work_time.note(held_s)
         usual_s = self._long_jobs.get_usual_s(permit.fingerprint)
         if outcome in (OUTCOME_OK, OUTCOME_TIMEOUT):
@@ -118,7 +118,7 @@
         self._outliers.note(permit.upstream_id, outcome, took_s / usual_s, now)
         if outcome == OUTCOME_OK:
             self._note_warmth(permit, took_s)
-        self._judge_upstream(permit.upstream_id, outcome, now)
+        self._update_upstream(permit.upstream_id, outcome, now)
 
     def _note_poison(self, permit, outcome, now):
         if outcome == OUTCOME_OK:
@@ -133,7 +133,7 @@
         usual_s = usual_s or min(self._long_jobs.typical_s, self._long_jobs.work_s)
         self._pool.warmup.note_work(permit.upstream_id, took_s / usual_s)
 
-    def _judge_upstream(self, upstream_id, outcome, now):
+    def _update_upstream(self, upstream_id, outcome, now):
         upstream = self._pool.get(upstream_id)
         upstream.ejected_until = self._outliers.get_ejected_until(upstream_id)
         upstream.slow_until = self._outliers.get_slow_until(upstream_id)
--- a/godwitlanding/daemons/desk.py
+++ b/godwitlanding/daemons/permitserver.py
@@ -21,14 +21,14 @@
     until: float
 
 
-class Collecting(NamedTuple):
+class PendingHolders(NamedTuple):
     """Holders that have still to tell their permits on an upstream."""
 
     waiting: set
     until: float
 
 
-class Desk:
+class PermitServer:
     """Answers requests for the permits of one service."""
 
     def __init__(self, incarnation, arbiter, first_permit_id):
@@ -36,7 +36,7 @@
         self.active = False
         self.borrower = Borrower(incarnation, arbiter.service)
         self.arbiter = arbiter
-        self.collecting_by_upstream = {}
+        self.pending_by_upstream = {}
         self.counts = {"arrivals": 0, "served": 0, "refused": 0, "passed_on": 0}
         self._incarnation = incarnation
         self._first_permit_id = first_permit_id
@@ -72,30 +72,30 @@
             # again would send it round without end.
             may_pass_on=message.may_pass_on and not message.arrived_from_zone,
         )
-        self.take(self.arbiter.acquire(ask, now), now)
+        self.answer_decisions(self.arbiter.acquire(ask, now), now)
 
     def withdraw(self, key, now):
         """Forget a request, or end its spill."""
         if key in self._spilled:
             self._spilled.discard(key)
-            self.take(self.arbiter.end_spill(key, now), now)
+            self.answer_decisions(self.arbiter.end_spill(key, now), now)
             return
         self._forget(key)
-        self.take(self.arbiter.withdraw(key, now), now)
+        self.answer_decisions(self.arbiter.withdraw(key, now), now)
 
     def release(self, message, now):
         """Take a permit back."""
         self._open_by_permit.pop(message.permit_id, None)
         if message.outcome not in (OUTCOME_UNUSED,):
             self.counts["served"] += 1
-        self.take(
+        self.answer_decisions(
             self.arbiter.release(
                 message.permit_id, message.outcome, message.took_s, now
             ),
             now,
         )
 
-    def take(self, decisions, now):
+    def answer_decisions(self, decisions, now):
         """Answer the requests that were decided."""
         for decision in decisions:
             key = decision.request_id
@@ -104,7 +104,7 @@
             if isinstance(outcome, Grant) and answer is None:
                 # Its caller left in the same moment: the slot stays free.
                 more = self.arbiter.release(outcome.permit_id, OUTCOME_UNUSED, 0.0, now)
-                self.take(more, now)
+                self.answer_decisions(more, now)
             elif answer:
                 message = self._make_answer(key, outcome, now)
                 self._forget(key)
@@ -112,33 +112,35 @@
 
     def tick(self, now):
         """Let time pass."""
-        self._end_collecting(now)
-        self.take(self.arbiter.tick(now), now)
+        self._end_blocks(now)
+        self.answer_decisions(self.arbiter.tick(now), now)
 
-    def take_gain(self, gain, slots, now):
+    def add_borrowed(self, gain, slots, now):
         """Take an upstream on loan; return the holders to ask about it."""
         ask = ()
         if gain.blocked_s:
             until = now + gain.blocked_s
             # A shorter block must not end one that still runs.
-            former = self.collecting_by_upstream.get(gain.upstream)
+            former = self.pending_by_upstream.get(gain.upstream)
             until = max(until, former.until if former else 0.0)
             self.arbiter.block(gain.upstream, until)
             known = gain.ask_holders is not None and former is None
             ask = gain.ask_holders if known else ()
             waiting = set(ask) if known else {None}
-            self.collecting_by_upstream[gain.upstream] = Collecting(waiting, until)
-        self.take(self.arbiter.set_loan(gain.upstream, slots, gain.until, now), now)
+            self.pending_by_upstream[gain.upstream] = PendingHolders(waiting, until)
+        self.answer_decisions(
+            self.arbiter.set_loan(gain.upstream, slots, gain.until, now), now
+        )
         if gain.blocked_s and known and not ask:
             self._unblock(gain.upstream, now)
         return ask
 
-    def lose(self, upstreams):
+    def stop_granting(self, upstreams):
         """Grant nothing more on upstreams that are no longer lent."""
         for upstream in upstreams:
             self.arbiter.end_loan(upstream)
 
-    def take_held(self, holder, upstreams, held, now):
+    def add_held_permits(self, holder, upstreams, held, now):
         """Take a holder's open permits; unblock what all have answered."""
         for permit in held.permits:
             if not self._is_own(permit.permit_id):
@@ -146,17 +148,17 @@
                 self._open_by_permit[permit.permit_id] = _Open(holder, until)
                 self.arbiter.add_open_permit(permit.permit_id, permit.upstream, until)
         for upstream in upstreams:
-            collecting = self.collecting_by_upstream.get(upstream)
-            if collecting:
-                collecting.waiting.discard(holder)
-                if not collecting.waiting:
+            pending = self.pending_by_upstream.get(upstream)
+            if pending:
+                pending.waiting.discard(holder)
+                if not pending.waiting:
                     self._unblock(upstream, now)
 
-    def get_unanswered(self):
+    def get_pending_upstreams(self):
         """Return the upstreams to ask about, by holder."""
         upstreams_by_holder = {}
-        for upstream, collecting in self.collecting_by_upstream.items():
-            for holder in collecting.waiting - {None}:
+        for upstream, pending in self.pending_by_upstream.items():
+            for holder in pending.waiting - {None}:
                 upstreams_by_holder.setdefault(holder, []).append(upstream)
         return upstreams_by_holder
 
@@ -188,7 +190,7 @@
             **self.arbiter.get_status(now),
             "active": self.active,
             "on_loan": self.borrower.get_upstreams(now),
-            "collecting": sorted(self.collecting_by_upstream),
+            "collecting": sorted(self.pending_by_upstream),
             **self.counts,
         }
 
@@ -225,10 +227,10 @@
         self._holder_by_request.pop(key, None)
 
     def _unblock(self, upstream, now):
-        self.collecting_by_upstream.pop(upstream, None)
-        self.take(self.arbiter.unblock(upstream, now), now)
+        self.pending_by_upstream.pop(upstream, None)
+        self.answer_decisions(self.arbiter.unblock(upstream, now), now)
 
-    def _end_collecting(self, now):
-        for upstream, collecting in list(self.collecting_by_upstream.items()):
-            if collecting.until <= now:
+    def _end_blocks(self, now):
+        for upstream, pending in list(self.pending_by_upstream.items()):
+            if pending.until <= now:
                 self._unblock(upstream, now)
--- a/godwitlanding/daemons/pool.py
+++ b/godwitlanding/daemons/pool.py
@@ -67,7 +67,7 @@
         self.eager_slots = 0
         self._free = SortedList()
         self._ejected = set()
-        self._out = set()
+        self._unusable = set()
         self._timers = Timers()
         self._uses = 0
 
@@ -83,10 +83,10 @@
         """Drop an upstream that has neither loan nor open permits."""
         upstream = self.upstream_by_id.get(upstream_id)
         if upstream and upstream.open_count == 0:
-            self._set_place(upstream, 0, 0, None)
+            self._set_position(upstream, 0, 0, None)
             self._timers.cancel(upstream_id)
             self._ejected.discard(upstream_id)
-            self._out.discard(upstream_id)
+            self._unusable.discard(upstream_id)
             del self.upstream_by_id[upstream_id]
 
     def refresh(self, upstream, now):
@@ -98,16 +98,16 @@
             share = upstream.open_count / upstream.slots
             is_reluctant = upstream.open_count >= eager
             key = (is_reluctant, share, upstream.used_at, upstream.id)
-        self._set_place(upstream, capacity, eager, key)
+        self._set_position(upstream, capacity, eager, key)
         self._set_timer(upstream, now)
         if upstream.ejected_until > now:
             self._ejected.add(upstream.id)
         else:
             self._ejected.discard(upstream.id)
         if upstream.usable:
-            self._out.discard(upstream.id)
+            self._unusable.discard(upstream.id)
         else:
-            self._out.add(upstream.id)
+            self._unusable.add(upstream.id)
 
     def run_timers(self, now):
         """Bring up to date the upstreams whose loan, block or rest ended."""
@@ -137,11 +137,11 @@
         usable = sum(1 for upstream in known if upstream and upstream.capacity)
         return usable >= self.usable_count
 
-    def has_free(self, may_be_reluctant=True):
+    def has_free(self, include_reluctant=True):
         """Tell whether any upstream has a free slot."""
         if not self._free:
             return False
-        return may_be_reluctant or not self._free[0][0]
+        return include_reluctant or not self._free[0][0]
 
     def take(self, upstream, now):
         """Count a permit opened on the upstream."""
@@ -169,7 +169,7 @@
         while the permits of a former arbiter are being counted; not where
         every upstream is out by its own health.
         """
-        return not self._out or len(self._out) < len(self.upstream_by_id)
+        return not self._unusable or len(self._unusable) < len(self.upstream_by_id)
 
     def _get_capacity(self, upstream, now):
         if not upstream.may_serve(now) or upstream.ejected_until > now:
@@ -183,7 +183,7 @@
             return 1
         return self.warmup.get_slots(upstream.id, upstream.slots, now)
 
-    def _set_place(self, upstream, capacity, eager, key):
+    def _set_position(self, upstream, capacity, eager, key):
         self.usable_slots += capacity - upstream.capacity
         self.usable_count += (capacity > 0) - (upstream.capacity > 0)
         self.eager_slots += eager - upstream.eager
--- a/godwitlanding/daemons/replica.py
+++ b/godwitlanding/daemons/replica.py
@@ -33,7 +33,7 @@
         held = self.state_by_key.get(key)
         if held and state.kind not in UNORDERED_KINDS:
             if state.version < held.version:
-                self._note_older(state, held)
+                self._log_older_version(state, held)
                 return False
             if state.version == held.version:
                 return False
@@ -70,7 +70,7 @@
         if self.state_by_key.get(key) is state:
             self.state_by_key[key] = state._replace(body=b"")
 
-    def _note_older(self, state, held):
+    def _log_older_version(self, state, held):
         if self._counters:
             self._counters.add("replica_refused", code="OLDER_VERSION")
         log_message(
--- a/godwitlanding/daemons/upload.py
+++ b/godwitlanding/daemons/requestreader.py
@@ -4,11 +4,11 @@
 
 # Parts of a body that wait for the upstream to take them; each is at most
 # what one read of the connection gives, 64 KB or so.
-_MAX_WAITING_PARTS = 4
+_MAX_QUEUED_PARTS = 4
 _END = None
 
 
-class Upload:
+class RequestReader:
     """Reads a request's body and watches its connection.
 
     ``receive`` is ASGI's. After ``read_head``, ``watch`` cancels the task
@@ -20,22 +20,22 @@
         self.is_gone = False
         self.is_too_large = False
         self._receive = receive
-        self._left = limit_bytes
-        self._is_whole = False
+        self._remaining_bytes = limit_bytes
+        self._is_complete = False
         self._parts = None
         self._task = None
 
-    async def read_head(self, whole_bytes):
+    async def read_beginning(self, buffer_bytes):
         """Return the body, or its beginning where it is longer.
 
         Stops early when the caller is gone or the body too large.
         """
         first = await self._read_part()
-        if self._is_whole or self.is_gone or self.is_too_large:
+        if self._is_complete or self.is_gone or self.is_too_large:
             return first
         parts = [first]
         size = len(first)
-        while size <= whole_bytes and not self._is_over():
+        while size <= buffer_bytes and not self._has_ended():
             parts.append(await self._read_part())
             size += len(parts[-1])
         return b"".join(parts)
@@ -46,8 +46,8 @@
         Returns ``None`` where the body is here whole.
         """
         rest = None
-        if not self._is_whole:
-            self._parts = asyncio.Queue(_MAX_WAITING_PARTS)
+        if not self._is_complete:
+            self._parts = asyncio.Queue(_MAX_QUEUED_PARTS)
             rest = self._iterate()
         self._task = asyncio.ensure_future(self._watch(task))
         return rest
@@ -57,8 +57,8 @@
         if self._task:
             self._task.cancel()
 
-    def _is_over(self):
-        return self._is_whole or self.is_gone or self.is_too_large
+    def _has_ended(self):
+        return self._is_complete or self.is_gone or self.is_too_large
 
     async def _read_part(self):
         message = await self._receive()
@@ -66,17 +66,17 @@
             self.is_gone = True
             return b""
         body = message.get("body", b"")
-        self._left -= len(body)
-        self.is_too_large = self._left < 0
-        self._is_whole = not message.get("more_body", False)
+        self._remaining_bytes -= len(body)
+        self.is_too_large = self._remaining_bytes < 0
+        self._is_complete = not message.get("more_body", False)
         return body
 
     async def _watch(self, task):
-        while not self._is_whole and not self._is_over():
+        while not self._is_complete and not self._has_ended():
             part = await self._read_part()
-            if not self._is_over() or self._is_whole:
+            if not self._has_ended() or self._is_complete:
                 await self._parts.put(part)
-        if self._is_whole and not self.is_too_large:
+        if self._is_complete and not self.is_too_large:
             if self._parts:
                 await self._parts.put(_END)
             while (await self._receive())["type"] != "http.disconnect":
--- a/godwitlanding/daemons/answer.py
+++ b/godwitlanding/daemons/responsechecks.py
@@ -15,12 +15,12 @@
 
 # Most look-ups are far smaller; 64 KB for each request in progress keeps
 # 500 of them within 32 MB.
-SMALL_ANSWER_BYTES = 65_536
+SMALL_RESPONSE_BYTES = 65_536
 _BODILESS_STATUSES = (204, 304)
 _CONTENT_RANGE = re.compile(r"bytes (\d+)-(\d+)/(\d+)")
 
 
-class Attempt(NamedTuple):
+class AttemptResult(NamedTuple):
     """What became of one dispatch; ``code`` is ``None`` when all is well.
 
     ``outcome`` goes to the arbiter, ``run`` says whether the upstream may
@@ -34,7 +34,7 @@
     retry_after_s: float = 1.0
 
 
-class Resume(NamedTuple):
+class ResumePoint(NamedTuple):
     """A download that broke off: its strong validator and its length.
 
     ``total`` is ``None`` where the answer came in chunks.
@@ -44,9 +44,9 @@
     total: int | None
 
 
-_REFUSAL_BY_WORD = {
-    "shed": Attempt(OUTCOME_SHED, RUN_NO, Code.UPSTREAM_SHED),
-    "draining": Attempt(OUTCOME_LEAVING, RUN_NO, Code.UPSTREAM_LEAVING),
+_REFUSAL_BY_HEADER = {
+    "shed": AttemptResult(OUTCOME_SHED, RUN_NO, Code.UPSTREAM_SHED),
+    "draining": AttemptResult(OUTCOME_LEAVING, RUN_NO, Code.UPSTREAM_LEAVING),
 }
 
 
@@ -54,7 +54,7 @@
     """Return the ``Attempt`` that an upstream says it did not run."""
     if status != 503:
         return None
-    return _REFUSAL_BY_WORD.get(headers.get(UPSTREAM_REFUSED, "").strip().lower())
+    return _REFUSAL_BY_HEADER.get(headers.get(UPSTREAM_REFUSED, "").strip().lower())
 
 
 def read_length(headers):
@@ -81,7 +81,7 @@
     return ""
 
 
-def find_resume(request, status, headers):
+def make_resume_point(request, status, headers):
     """Return the ``Resume`` for an answer that may be continued later.
 
     Only a strong validator will do: under a weak one two upstreams may
@@ -92,7 +92,7 @@
     strong = etag.startswith('"') and etag.endswith('"') and len(etag) > 2
     if request.method != "GET" or status != 200 or not strong:
         return None
-    return Resume(etag, read_length(headers))
+    return ResumePoint(etag, read_length(headers))
 
 
 def make_range_headers(resume, sent_bytes):
--- a/godwitlanding/daemons/sink.py
+++ b/godwitlanding/daemons/responsewriter.py
@@ -1,7 +1,7 @@
 """Where an answer goes: the caller's connection."""
 
 from godwitlanding.base.headers import REPLAYED, REQUEST_ID
-from godwitlanding.daemons.journaltext import RECORDED_BODY_BYTES, Outcome
+from godwitlanding.daemons.journalformat import RECORDED_BODY_BYTES, Outcome
 
 _RECORDED_HEADERS = frozenset(("content-type", "content-language", "location", "etag"))
 _BODILESS_STATUSES = (204, 304)
@@ -10,7 +10,7 @@
 CLOSE = (b"connection", b"close")
 
 
-class Sink:
+class ResponseWriter:
     """Sends an answer by ASGI and knows how much of it has gone.
 
     ``closes`` tells whether the process leaves: a caller who goes on to
@@ -20,8 +20,8 @@
     complete.
     """
 
-    def __init__(self, send, request_id, closes=lambda: False):
-        self._closes = closes
+    def __init__(self, send, request_id, is_closing=lambda: False):
+        self._is_closing = is_closing
         self.started = False
         self.finished = False
         self.sent_bytes = 0
@@ -40,7 +40,7 @@
             if status not in _BODILESS_STATUSES or name != "content-length"
         ]
         pairs.append((REQUEST_ID.lower().encode(), self._request_id.encode()))
-        if self._closes():
+        if self._is_closing():
             pairs.append(CLOSE)
         await self._send(
             {"type": "http.response.start", "status": status, "headers": pairs}
@@ -60,7 +60,7 @@
         await self._send({"type": "http.response.body", "body": chunk})
 
 
-class Recorder:
+class ResponseRecorder:
     """Takes the answer to non-idempotent work, whether or not it is wanted.
 
     The work goes on when its caller has left, and a caller that reads
@@ -69,7 +69,7 @@
     through as it comes.
     """
 
-    MAX_KEPT_BYTES = 1_000_000
+    MAX_BUFFERED_BYTES = 1_000_000
 
     def __init__(self, sink):
         self.started = False
@@ -80,7 +80,7 @@
         self._status = 0
         self._headers = []
         self._parts = []
-        self._is_passing = False
+        self._is_streaming = False
 
     async def start(self, status, headers):
         """Take the head of the answer."""
@@ -92,8 +92,8 @@
         """Take a part of the body."""
         self.sent_bytes += len(chunk)
         self._parts.append(chunk)
-        if self._is_passing or self.sent_bytes > self.MAX_KEPT_BYTES:
-            await self._pass_through()
+        if self._is_streaming or self.sent_bytes > self.MAX_BUFFERED_BYTES:
+            await self._stream()
 
     async def finish(self, chunk=b""):
         """Take the last part of the body."""
@@ -110,16 +110,16 @@
         body = b"".join(self._parts) if is_small else None
         return Outcome(self._status, headers, body)
 
-    async def hand_on(self):
+    async def deliver(self):
         """Give the caller what is here, if there is an answer."""
-        if self.finished and not self._is_passing:
+        if self.finished and not self._is_streaming:
             await self._sink.start(self._status, self._headers)
         if self.finished:
             await self._sink.finish(b"".join(self._parts))
 
-    async def _pass_through(self):
-        if not self._is_passing:
-            self._is_passing = True
+    async def _stream(self):
+        if not self._is_streaming:
+            self._is_streaming = True
             await self._sink.start(self._status, self._headers)
         await self._sink.write(b"".join(self._parts))
         self._parts.clear()
--- a/godwitlanding/daemons/roster.py
+++ b/godwitlanding/daemons/roster.py
@@ -79,7 +79,7 @@
     alive_since: float
 
 
-class RosterKeeper:
+class RosterPlanner:
     """Decides which upstreams may change hands; others make the writes."""
 
     def __init__(self, vm, loan_s):
@@ -87,7 +87,7 @@
         self._loan_s = loan_s
         self._gone_since_by_vm = {}
 
-    def note_gone(self, gone_vms, now):
+    def update_gone_vms(self, gone_vms, now):
         """Take which owners' VMs the platform's list lacks."""
         for vm in set(self._gone_since_by_vm) - set(gone_vms):
             del self._gone_since_by_vm[vm]
@@ -101,13 +101,13 @@
         handover_by_upstream = {}
         for upstream, permit_s in longest_permit_s_by_upstream.items():
             owner = roster.owner_by_upstream.get(upstream)
-            if owner and not self._has_ended(owner, permit_s, now):
+            if owner and not self._may_reassign(owner, permit_s, now):
                 continue
-            heir = choose(f"owner/{upstream}", incarnation_by_vm)
-            if heir:
-                owner_by_upstream[upstream] = heir
+            next_owner = choose(f"owner/{upstream}", incarnation_by_vm)
+            if next_owner:
+                owner_by_upstream[upstream] = next_owner
                 handover_by_upstream[upstream] = Handover(
-                    incarnation_by_vm[heir], FORMER_NONE
+                    incarnation_by_vm[next_owner], FORMER_NONE
                 )
         return owner_by_upstream, handover_by_upstream
 
@@ -119,19 +119,19 @@
             if leaving or now - candidate.alive_since >= REBALANCE_AFTER_S
         ]
         others = [vm for vm in stable if vm != self._vm]
-        heirs = others if leaving else sorted({*others, self._vm})
-        heir_by_upstream = {}
+        next_owners = others if leaving else sorted({*others, self._vm})
+        next_owner_by_upstream = {}
         for upstream in owned:
-            heir = choose(f"owner/{upstream}", heirs)
-            if heir and heir != self._vm:
-                heir_by_upstream[upstream] = heir
-        return heir_by_upstream
+            next_owner = choose(f"owner/{upstream}", next_owners)
+            if next_owner and next_owner != self._vm:
+                next_owner_by_upstream[upstream] = next_owner
+        return next_owner_by_upstream
 
     def get_status(self, now):
         """Return the owners that are gone and for how long, in seconds."""
         return {vm: round(now - at, 1) for vm, at in self._gone_since_by_vm.items()}
 
-    def _has_ended(self, owner, permit_s, now):
+    def _may_reassign(self, owner, permit_s, now):
         gone_since = self._gone_since_by_vm.get(owner)
         if gone_since is None:
             return False
--- a/godwitlanding/daemons/services/arbitration.py
+++ b/godwitlanding/daemons/services/arbitration.py
@@ -19,7 +19,7 @@
 )
 from godwitlanding.base.tasks import Tasks
 from godwitlanding.daemons.arbiter import Arbiter
-from godwitlanding.daemons.desk import PERMIT_ID_BITS, Desk
+from godwitlanding.daemons.permitserver import PERMIT_ID_BITS, PermitServer
 from godwitlanding.decisions.health import DRAINING, UpstreamHealth
 from godwitlanding.decisions.poison import PoisonLedger
 from godwitlanding.decisions.spill import LinkLimiter
@@ -84,14 +84,16 @@
         now = self._now()
         self._note_drains(config, service, health, now)
         for upstream, verdict in health.get_verdicts(now).items():
-            desk.take(desk.arbiter.set_usable(upstream, verdict.usable, now), now)
+            desk.answer_decisions(
+                desk.arbiter.set_usable(upstream, verdict.usable, now), now
+            )
         self._schedule()
 
     def note_cold(self, service, upstream):
         """An upstream has started again: give it work slowly."""
         desk = self.desk_by_service[service]
         now = self._now()
-        desk.take(desk.arbiter.note_cold(upstream, now), now)
+        desk.answer_decisions(desk.arbiter.note_cold(upstream, now), now)
 
     def get_status(self):
         """Return the desks, with why upstreams are out."""
@@ -140,7 +142,7 @@
                 service.slow_start_s,
                 self._poison,
             )
-            desk = Desk(self._context.incarnation, arbiter, first)
+            desk = PermitServer(self._context.incarnation, arbiter, first)
             self.desk_by_service[service.name] = desk
             self.health_by_service[service.name] = UpstreamHealth()
         desk.active = True
@@ -165,7 +167,7 @@
         now = self._now()
         for zone, meter in self._get_meters().items():
             desk.arbiter.spill.set_link_limiter(zone, meter)
-        desk.take(desk.arbiter.set_allowances(allowances, now), now)
+        desk.answer_decisions(desk.arbiter.set_allowances(allowances, now), now)
         self.refresh_usable(service.name)
 
     def _get_meters(self):
--- a/godwitlanding/daemons/services/borrowing.py
+++ b/godwitlanding/daemons/services/borrowing.py
@@ -74,7 +74,7 @@
     def give_back(self, desk):
         """Use nothing more, and tell the owners."""
         for owner in desk.borrower.get_owners():
-            desk.lose(desk.borrower.drop_owner(owner))
+            desk.stop_granting(desk.borrower.drop_owner(owner))
             self._give_back(owner, desk.borrower.make_give_back())
 
     def _now(self):
@@ -121,21 +121,21 @@
     def _take_lent(self, desk, owner, loan, lent, asked_at):
         now = self._now()
         permit_s = self._lending.get_longest_permit_s(desk.service)
-        gains, lost = desk.borrower.take_lent(
+        gains, lost = desk.borrower.accept_lent(
             owner, loan, lent, asked_at, permit_s, now
         )
-        desk.lose(lost)
+        desk.stop_granting(lost)
         config = self._configuration.config
         known = config.service_by_name[desk.service].upstream_by_id
         for gain in gains:
             if gain.upstream in known:
-                desk.take_gain(gain, known[gain.upstream].slots, now)
+                desk.add_borrowed(gain, known[gain.upstream].slots, now)
 
     async def _collect(self, desk):
         await asyncio.gather(
             *(
                 self._ask_holder(desk, holder, tuple(upstreams))
-                for holder, upstreams in desk.get_unanswered().items()
+                for holder, upstreams in desk.get_pending_upstreams().items()
             )
         )
 
@@ -157,7 +157,7 @@
         answer = await channel.call(question, HOLDINGS_TIMEOUT_S)
         if answer.is_err() or not isinstance(answer.unwrap(), Held):
             return False
-        desk.take_held(holder, upstreams, answer.unwrap(), self._now())
+        desk.add_held_permits(holder, upstreams, answer.unwrap(), self._now())
         return True
 
     async def _tell_lenders(self, desk, holder):
@@ -168,8 +168,8 @@
             # A renewal that was under way did not name the holder yet.
             await asyncio.sleep(UNDER_WAY_S)
             await self.renew(desk)
-        for owner in desk.borrower.get_untold(holder, self._now()):
-            desk.lose(desk.borrower.drop_owner(owner))
+        for owner in desk.borrower.get_uninformed_lenders(holder, self._now()):
+            desk.stop_granting(desk.borrower.drop_owner(owner))
 
     def _get_local_ids(self, service):
         config = self._configuration.config
--- a/godwitlanding/daemons/services/claims.py
+++ b/godwitlanding/daemons/services/claims.py
@@ -3,10 +3,10 @@
 from godwitlanding.base.codes import RUN_UNKNOWN, Code, make_refusal
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.messages import OUTCOME_UNUSED
-from godwitlanding.daemons.fleet import VmRow
+from godwitlanding.daemons.entrytargets import VmRow
 from godwitlanding.daemons.forward import HOME
 from godwitlanding.daemons.journal import Claim
-from godwitlanding.daemons.journaltext import Closer
+from godwitlanding.daemons.journalformat import Closer
 from godwitlanding.daemons.request import compute_body_fingerprint
 from godwitlanding.daemons.services.carrier import Final
 from godwitlanding.daemons.services.once import answer_again
--- a/godwitlanding/daemons/services/journal.py
+++ b/godwitlanding/daemons/services/journal.py
@@ -12,7 +12,7 @@
 from godwitlanding.base.log import log_error
 from godwitlanding.base.tasks import Tasks
 from godwitlanding.daemons.journal import Journal, close_journal
-from godwitlanding.daemons.journaltext import Closer
+from godwitlanding.daemons.journalformat import Closer
 
 JOURNAL_KIND = "journal"
 # An outcome that is not written yet is lost with its process; a caller who
@@ -146,7 +146,7 @@
             self._changed.clear()
             # A write whose answer was lost has to be settled even where
             # nothing new came: its outcomes may not stand in the platform.
-            if not (self.journal.is_dirty or self.journal.is_unsettled):
+            if not (self.journal.is_dirty or self.journal.has_unresolved_writes):
                 continue
             await self._gather()
             self._is_failing = not await self._write()
@@ -163,7 +163,7 @@
         """
         loop = asyncio.get_running_loop()
         end = loop.time() + OUTCOME_DELAY_S
-        while not self.journal.is_waiting and (left := end - loop.time()) > 0:
+        while not self.journal.has_waiting_claims and (left := end - loop.time()) > 0:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(left):
                     await self._changed.wait()
@@ -174,7 +174,7 @@
 
     async def _write(self):
         """Write once and learn what became of it; tell whether all is well."""
-        if self.journal.is_unsettled and not await self._settle():
+        if self.journal.has_unresolved_writes and not await self._settle():
             return False
         if self.journal.closed_by:
             return True
@@ -198,7 +198,7 @@
         if stored.is_err():
             return False
         try:
-            self._tell(self.journal.settle(stored.unwrap()))
+            self._tell(self.journal.reconcile(stored.unwrap()))
         except ValueError as error:
             log_error("journal:unreadable", error=str(error))
             return False
--- a/godwitlanding/daemons/services/keys.py
+++ b/godwitlanding/daemons/services/keys.py
@@ -14,7 +14,7 @@
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.log import log_error
 from godwitlanding.base.tasks import Tasks
-from godwitlanding.daemons.journaltext import CLAIMED, DONE, UNKNOWN
+from godwitlanding.daemons.journalformat import CLAIMED, DONE, UNKNOWN
 from godwitlanding.daemons.keyrecord import (
     MAX_KEY_CHARS,
     KeyRecord,
--- a/godwitlanding/daemons/services/lending.py
+++ b/godwitlanding/daemons/services/lending.py
@@ -13,7 +13,7 @@
     format_roster,
     parse_roster,
 )
-from godwitlanding.daemons.steward import Steward, Surroundings
+from godwitlanding.daemons.upstreamowner import RosterInputs, UpstreamOwner
 
 ROUND_S = 0.3
 
@@ -33,7 +33,7 @@
 
     async def start(self, kernel):
         """Begin to keep the roster."""
-        self._steward = Steward(
+        self._steward = UpstreamOwner(
             self._context.vm,
             self._context.incarnation,
             self._context.settings["loan_s"],
@@ -123,7 +123,7 @@
         except ValueError as error:
             log_warning("roster:refused", error=str(error))
             return
-        self._steward.take_roster(roster, state.version, self._now())
+        self._steward.update_roster(roster, state.version, self._now())
 
     def _note_deadlines(self):
         config = self._configuration.config
@@ -146,7 +146,7 @@
             for service in config.service_by_name.values()
             for upstream in service.get_upstreams(zone)
         }
-        roster = self._steward.find_change(
+        roster = self._steward.plan_change(
             self._look_around(), permit_s_by_upstream, self._now()
         )
         if roster:
@@ -161,7 +161,7 @@
             for vm in members.get_active()
         ]
         now = self._now()
-        return Surroundings(
+        return RosterInputs(
             candidates=tuple(candidates),
             gone_vms=tuple(
                 vm for vm in self.get_owners() if members.membership.is_gone(vm, now)
--- a/godwitlanding/daemons/services/members.py
+++ b/godwitlanding/daemons/services/members.py
@@ -245,7 +245,7 @@
         if channel.peer.role == ENTRY_ROLE:
             self.end_entry(heartbeat.entry_incarnation)
             return
-        is_news = self.membership.take_heartbeat(heartbeat, self._now())
+        is_news = self.membership.record_heartbeat(heartbeat, self._now())
         if is_news:
             self.refresh()
         await self._fetch_missing(channel, heartbeat)
@@ -268,7 +268,7 @@
             except (ValueError, KeyError, TypeError) as error:
                 log_warning("members:bad_vm_list", error=repr(error))
                 return
-            self.membership.take_list(vm_list, self._now())
+            self.membership.update_vm_list(vm_list, self._now())
             self.refresh()
         elif state.kind == "config":
             self.refresh()
--- a/godwitlanding/daemons/services/once.py
+++ b/godwitlanding/daemons/services/once.py
@@ -6,8 +6,8 @@
 from godwitlanding.base.codes import RUN_NO, Code, make_refusal
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.tasks import Tasks
+from godwitlanding.daemons.responsewriter import ResponseRecorder, replay
 from godwitlanding.daemons.services.carrier import Guard
-from godwitlanding.daemons.sink import Recorder, replay
 
 
 class Record(Protocol):
@@ -78,7 +78,7 @@
         the caller presses again.
         """
         guard = RecordGuard(record, self._limit_s)
-        recorder = Recorder(sink)
+        recorder = ResponseRecorder(sink)
         task = self._tasks.run(self._work(request, recorder, guard, record))
         self._running.add(task)
         task.add_done_callback(self._running.discard)
@@ -89,7 +89,7 @@
                 task.cancel()
             raise
         if refusal is None:
-            await recorder.hand_on()
+            await recorder.deliver()
         return refusal
 
     async def _work(self, request, recorder, guard, record):
--- a/godwitlanding/daemons/services/passer.py
+++ b/godwitlanding/daemons/services/passer.py
@@ -8,8 +8,8 @@
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.messages import OUTCOME_FAILED, OUTCOME_UNUSED
 from godwitlanding.base.tasks import Tasks
-from godwitlanding.daemons.answer import Attempt
 from godwitlanding.daemons.forward import HOP, Forward, sign_forward
+from godwitlanding.daemons.responsechecks import AttemptResult
 from godwitlanding.decisions.spill import LinkLimiter
 
 # One VM that has just died must not fail the spill; with more, the caller
@@ -125,7 +125,7 @@
 
 
 def _refuse(code, retry_after_s=1.0, detail=""):
-    return Attempt(OUTCOME_FAILED, RUN_NO, code, detail, retry_after_s)
+    return AttemptResult(OUTCOME_FAILED, RUN_NO, code, detail, retry_after_s)
 
 
 def _read(status, headers):
@@ -141,6 +141,6 @@
         code = Code(int(number))
         retry_after_s = float(headers.get("Retry-After", "0"))
     except ValueError:
-        return Attempt(OUTCOME_FAILED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, number)
+        return AttemptResult(OUTCOME_FAILED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, number)
     run = Run(headers.get(RUN, RUN_UNKNOWN))
-    return Attempt(OUTCOME_UNUSED, run, code, "in another zone", retry_after_s)
+    return AttemptResult(OUTCOME_UNUSED, run, code, "in another zone", retry_after_s)
--- a/godwitlanding/daemons/services/permits.py
+++ b/godwitlanding/daemons/services/permits.py
@@ -16,7 +16,7 @@
     Withdraw,
 )
 from godwitlanding.base.tasks import Tasks
-from godwitlanding.daemons.holdings import PermitBook, Spill
+from godwitlanding.daemons.holdings import HeldPermits, Spill
 from godwitlanding.daemons.view import MEMBERS_KIND
 
 # An arbiter that is replaced takes a moment to collect the open permits.
@@ -41,7 +41,7 @@
     needs = ("feed",)
 
     def __init__(self, context):
-        self.book = PermitBook(context.settings["permit_start_s"])
+        self.book = HeldPermits(context.settings["permit_start_s"])
         self._context = context
         self._counters = context.counters
         self._port = context.settings["zone_port"]
--- a/godwitlanding/daemons/services/requests.py
+++ b/godwitlanding/daemons/services/requests.py
@@ -18,8 +18,8 @@
 from godwitlanding.base.web import make_problem
 from godwitlanding.daemons.forward import read_forward
 from godwitlanding.daemons.request import Request, compute_fingerprint
-from godwitlanding.daemons.sink import Sink
-from godwitlanding.daemons.upload import Upload
+from godwitlanding.daemons.requestreader import RequestReader
+from godwitlanding.daemons.responsewriter import ResponseWriter
 
 # A body up to this size is read whole before a permit is asked for, so a
 # slow upload holds no slot and the request can be sent again.
@@ -78,7 +78,7 @@
 
     async def _handle(self, scope, receive, send):
         request_id = uuid.uuid4().hex
-        upload = Upload(receive, self._settings["max_body_bytes"])
+        upload = RequestReader(receive, self._settings["max_body_bytes"])
         read = await self._read(scope, upload, request_id)
         if upload.is_gone:
             return
@@ -94,7 +94,7 @@
             caller=request.caller,
             from_zone=request.from_zone,
         )
-        sink = Sink(send, request_id, lambda: self.is_leaving)
+        sink = ResponseWriter(send, request_id, lambda: self.is_leaving)
         try:
             refusal = await self._run(request, sink)
         except asyncio.CancelledError:
@@ -164,7 +164,7 @@
             return remaining
         deadline = asyncio.get_running_loop().time() + remaining.unwrap()
         fault = self._check_length(value_by_name)
-        body = b"" if fault else await upload.read_head(WHOLE_BODY_BYTES)
+        body = b"" if fault else await upload.read_beginning(WHOLE_BODY_BYTES)
         if fault or upload.is_too_large:
             return Err(fault or make_refusal(Code.BODY_TOO_LARGE))
         target = _strip(target)
--- a/godwitlanding/daemons/services/routing.py
+++ b/godwitlanding/daemons/services/routing.py
@@ -6,7 +6,7 @@
 
 from godwitlanding.base.config import CONFIG_KIND, CONFIG_NAME
 from godwitlanding.base.kernel import Service
-from godwitlanding.daemons.fleet import list_targets, parse_leaving_vms
+from godwitlanding.daemons.entrytargets import list_targets, parse_leaving_vms
 from godwitlanding.daemons.view import MAIN_NAME, MEMBERS_KIND, PLAN_KIND, VMS_KIND
 from godwitlanding.decisions.choice import (
     choose_origin,
--- a/godwitlanding/daemons/services/upstreams.py
+++ b/godwitlanding/daemons/services/upstreams.py
@@ -20,13 +20,13 @@
     OUTCOME_OK,
     OUTCOME_TIMEOUT,
 )
-from godwitlanding.daemons.answer import (
-    SMALL_ANSWER_BYTES,
-    Attempt,
+from godwitlanding.daemons.responsechecks import (
+    SMALL_RESPONSE_BYTES,
+    AttemptResult,
     check_continuation,
     check_head,
-    find_resume,
     make_range_headers,
+    make_resume_point,
     read_length,
     read_upstream_refusal,
 )
@@ -96,11 +96,13 @@
         except aiohttp.ClientConnectorError as error:
             is_refused = isinstance(error.os_error, ConnectionRefusedError)
             detail = CONNECTION_REFUSED if is_refused else str(error)
-            return Attempt(OUTCOME_FAILED, RUN_NO, Code.UPSTREAM_FAILED, detail)
+            return AttemptResult(OUTCOME_FAILED, RUN_NO, Code.UPSTREAM_FAILED, detail)
         except aiohttp.ConnectionTimeoutError as error:
-            return Attempt(OUTCOME_FAILED, RUN_NO, Code.UPSTREAM_FAILED, str(error))
+            return AttemptResult(
+                OUTCOME_FAILED, RUN_NO, Code.UPSTREAM_FAILED, str(error)
+            )
         except TimeoutError:
-            return Attempt(OUTCOME_TIMEOUT, RUN_UNKNOWN, Code.UPSTREAM_TIMEOUT)
+            return AttemptResult(OUTCOME_TIMEOUT, RUN_UNKNOWN, Code.UPSTREAM_TIMEOUT)
         except (aiohttp.ClientError, OSError) as error:
             return _explain_break(sink, repr(error))
 
@@ -124,10 +126,12 @@
             fault = _check(request, response, sink)
             if fault:
                 response.close()
-                return Attempt(OUTCOME_FAILED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, fault)
+                return AttemptResult(
+                    OUTCOME_FAILED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, fault
+                )
             await _copy_answer(request, response, sink)
             outcome = OUTCOME_FAILED if response.status >= 500 else OUTCOME_OK
-            return Attempt(outcome, RUN_YES)
+            return AttemptResult(outcome, RUN_YES)
 
     def _choose_session(self, request, address):
         """Return the session whose connections are safe for the request.
@@ -161,8 +165,8 @@
     """
     if sink.started:
         code = Code.UPSTREAM_TRUNCATED
-        return Attempt(OUTCOME_FAILED, RUN_UNKNOWN, code, detail)
-    return Attempt(OUTCOME_CRASHED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, detail)
+        return AttemptResult(OUTCOME_FAILED, RUN_UNKNOWN, code, detail)
+    return AttemptResult(OUTCOME_CRASHED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, detail)
 
 
 def _make_session(**connector_options):
@@ -202,13 +206,13 @@
     length = read_length(response.headers)
     # A short answer is read whole first: the slot is free without waiting
     # for the caller to read, and one that breaks off has not been begun.
-    if not sink.started and length is not None and length <= SMALL_ANSWER_BYTES:
+    if not sink.started and length is not None and length <= SMALL_RESPONSE_BYTES:
         body = await response.read()
         await sink.start(response.status, headers)
         await sink.finish(body)
         return
     if not sink.started:
-        sink.resume = find_resume(request, response.status, response.headers)
+        sink.resume = make_resume_point(request, response.status, response.headers)
         await sink.start(response.status, headers)
     async for chunk in response.content.iter_any():
         await sink.write(chunk)
--- a/godwitlanding/daemons/ticket.py
+++ b/godwitlanding/daemons/ticket.py
@@ -57,8 +57,8 @@
         body = text[len(PREFIX) :]
         data = base64.urlsafe_b64decode(body + "=" * (-len(body) % 4))
         digest, payload = data[:_DIGEST_BYTES], data[_DIGEST_BYTES:]
-        good = hmac.digest(key, payload, hashlib.sha256)[:_DIGEST_BYTES]
-        if not hmac.compare_digest(digest, good):
+        expected_digest = hmac.digest(key, payload, hashlib.sha256)[:_DIGEST_BYTES]
+        if not hmac.compare_digest(digest, expected_digest):
             raise ValueError("the ticket was not issued by this system")
         return Ok(Ticket(*json.loads(payload)))
     except (ValueError, TypeError) as error:
--- a/godwitlanding/daemons/trace.py
+++ b/godwitlanding/daemons/trace.py
@@ -15,23 +15,23 @@
 from datetime import UTC, datetime
 
 # About 1 kB a request: 4 MB, and some seconds of a VM's full rate.
-KEPT_REQUESTS = 4000
-KEPT_EVENTS = 20
+MAX_REQUESTS = 4000
+MAX_EVENTS_PER_REQUEST = 20
 
 
 class Trace:
     """The events of the newest requests by request id."""
 
-    def __init__(self, kept_requests=KEPT_REQUESTS):
+    def __init__(self, max_requests=MAX_REQUESTS):
         self._events_by_id = OrderedDict()
-        self._kept_requests = kept_requests
+        self._max_requests = max_requests
 
     def add(self, request_id, event, **fields):
         """Note an event; the wall clock is for the person who reads it."""
         events = self._events_by_id.setdefault(request_id, [])
-        if len(events) < KEPT_EVENTS:
+        if len(events) < MAX_EVENTS_PER_REQUEST:
             events.append((datetime.now(UTC), event, fields))
-        while len(self._events_by_id) > self._kept_requests:
+        while len(self._events_by_id) > self._max_requests:
             self._events_by_id.popitem(last=False)
 
     def get(self, request_id):
--- a/godwitlanding/daemons/steward.py
+++ b/godwitlanding/daemons/upstreamowner.py
@@ -10,10 +10,10 @@
 from typing import NamedTuple
 
 from godwitlanding.daemons.loan import Lender
-from godwitlanding.daemons.roster import EMPTY_ROSTER, RosterKeeper
+from godwitlanding.daemons.roster import EMPTY_ROSTER, RosterPlanner
 
 
-class Surroundings(NamedTuple):
+class RosterInputs(NamedTuple):
     """What a member sees when it looks at the roster.
 
     ``candidates`` may own upstreams, this member too unless it leaves;
@@ -30,42 +30,42 @@
     leaving: bool
 
 
-class Steward:
+class UpstreamOwner:
     """Looks after the upstreams that one member owns."""
 
     def __init__(self, vm, incarnation, loan_s, started_at):
         self.roster = EMPTY_ROSTER
         self.lender = Lender(incarnation, loan_s, started_at)
         self.version = 0
-        self.heir_by_upstream = {}
-        self._surrendered = set()
+        self.next_owner_by_upstream = {}
+        self._released = set()
         self._vm = vm
-        self._keeper = RosterKeeper(vm, loan_s)
+        self._planner = RosterPlanner(vm, loan_s)
 
-    def take_roster(self, roster, version, now):
+    def update_roster(self, roster, version, now):
         """Take a newer roster."""
         if version <= self.version:
             return
         self.roster = roster
         self.version = version
         # A write on an older version can no longer take effect.
-        self._surrendered.clear()
+        self._released.clear()
         owned = roster.get_owned(self._vm)
         self.lender.set_owned(owned, now)
-        for upstream in set(self.heir_by_upstream) - set(owned):
-            del self.heir_by_upstream[upstream]
+        for upstream in set(self.next_owner_by_upstream) - set(owned):
+            del self.next_owner_by_upstream[upstream]
 
-    def find_change(self, surroundings, permit_s_by_upstream, now):
+    def plan_change(self, surroundings, permit_s_by_upstream, now):
         """Return the roster to write now, or ``None``."""
-        self._keeper.note_gone(surroundings.gone_vms, now)
-        self._choose_heirs(surroundings, now)
-        owners, handovers = self._give_up(surroundings, permit_s_by_upstream, now)
+        self._planner.update_gone_vms(surroundings.gone_vms, now)
+        self._choose_next_owners(surroundings, now)
+        owners, handovers = self._release(surroundings, permit_s_by_upstream, now)
         # The answer to the write may be lost: whatever becomes of it, these
         # are lent no more until a newer roster says whose they are.
         # Otherwise both the new owner and this member would lend them.
-        self._surrendered.update(owners)
+        self._released.update(owners)
         if surroundings.is_writer:
-            claims = self._keeper.find_claims(
+            claims = self._planner.find_claims(
                 self.roster, permit_s_by_upstream, surroundings.candidates, now
             )
             owners.update(claims[0])
@@ -77,32 +77,32 @@
         return {
             "loan_by_upstream": self.lender.get_status(now),
             "owner_by_upstream": self.roster.owner_by_upstream,
-            "gone_s_by_vm": self._keeper.get_status(now),
-            "giving_up": self.heir_by_upstream,
+            "gone_s_by_vm": self._planner.get_status(now),
+            "giving_up": self.next_owner_by_upstream,
         }
 
-    def _choose_heirs(self, surroundings, now):
+    def _choose_next_owners(self, surroundings, now):
         owned = self.lender.get_owned()
         if surroundings.may_release or surroundings.leaving:
-            self.heir_by_upstream = self._keeper.find_releases(
+            self.next_owner_by_upstream = self._planner.find_releases(
                 owned, surroundings.candidates, surroundings.leaving, now
             )
-        for upstream in self._surrendered & owned:
-            self.heir_by_upstream.setdefault(upstream, self._vm)
+        for upstream in self._released & owned:
+            self.next_owner_by_upstream.setdefault(upstream, self._vm)
         for upstream in owned:
-            releasing = upstream in self.heir_by_upstream
+            releasing = upstream in self.next_owner_by_upstream
             self.lender.set_releasing(upstream, releasing)
 
-    def _give_up(self, surroundings, permit_s_by_upstream, now):
+    def _release(self, surroundings, permit_s_by_upstream, now):
         incarnation_by_vm = {c.vm: c.incarnation for c in surroundings.candidates}
         longest_s = max(permit_s_by_upstream.values(), default=0.0)
         owners = {}
         handovers = {}
-        for upstream, heir in self.heir_by_upstream.items():
+        for upstream, next_owner in self.next_owner_by_upstream.items():
             if self.lender.is_free(upstream, now):
                 permit_s = permit_s_by_upstream.get(upstream, longest_s)
-                incarnation = incarnation_by_vm.get(heir, "")
-                owners[upstream] = heir
+                incarnation = incarnation_by_vm.get(next_owner, "")
+                owners[upstream] = next_owner
                 handovers[upstream] = self.lender.make_handover(
                     upstream, incarnation, permit_s, now
                 )
--- a/godwitlanding/daemons/versions.py
+++ b/godwitlanding/daemons/versions.py
@@ -13,8 +13,8 @@
 ALWAYS_KINDS = ("config", "plan", "secret", "roster", "vms")
 # With 50 pieces and heartbeats 0.3 s apart a lost push is mended within
 # 5 s; the piece itself goes out at once when it changes.
-TURN_KINDS = ("blocks",)
-TURN_SIZE = 3
+ROTATING_KINDS = ("blocks",)
+ROTATING_PER_HEARTBEAT = 3
 
 
 def choose_versions(states, turn):
@@ -24,10 +24,10 @@
     (VersionOf(kind='config', name='main', version=7),)
     """
     always = [state for state in states if state.kind in ALWAYS_KINDS]
-    many = sorted(state[:3] for state in states if state.kind in TURN_KINDS)
+    rotating = sorted(state[:3] for state in states if state.kind in ROTATING_KINDS)
     rows = [state[:3] for state in always]
     rows += [
-        many[(turn * TURN_SIZE + step) % len(many)]
-        for step in range(min(TURN_SIZE, len(many)))
+        rotating[(turn * ROTATING_PER_HEARTBEAT + step) % len(rotating)]
+        for step in range(min(ROTATING_PER_HEARTBEAT, len(rotating)))
     ]
     return tuple(VersionOf(*row) for row in rows)
--- a/godwitlanding/daemons/view.py
+++ b/godwitlanding/daemons/view.py
@@ -10,7 +10,7 @@
 from eliot import log_message
 
 from godwitlanding.base.config import CONFIG_KIND, CONFIG_NAME, parse_config
-from godwitlanding.daemons.fleet import Member, parse_members, parse_vms
+from godwitlanding.daemons.entrytargets import Member, parse_members, parse_vms
 from godwitlanding.decisions.plan import EMPTY_PLAN, parse_plan
 
 MEMBERS_KIND = "members"
@@ -31,7 +31,7 @@
 NO_MEMBERS = Members((), {})
 
 
-def _parse_zone(body):
+def _parse_members(body):
     arbiters = json.loads(body).get("arbiters_by_service", {})
     return Members(
         parse_members(body), {name: tuple(vms) for name, vms in arbiters.items()}
@@ -57,11 +57,11 @@
         self._zone = availability_zone
         self._value_by_key = {}
         self._address_by_vm = {}
-        replica.listen(self._forget)
+        replica.listen(self._invalidate_addresses)
         self._parser_by_kind = {
             CONFIG_KIND: _parse_config,
             PLAN_KIND: parse_plan,
-            MEMBERS_KIND: _parse_zone,
+            MEMBERS_KIND: _parse_members,
             VMS_KIND: parse_vms,
             SECRET_KIND: _parse_key,
         }
@@ -105,7 +105,7 @@
                 self._address_by_vm[member.vm] = member.address
         return self._address_by_vm.get(vm, "")
 
-    def _forget(self, state):
+    def _invalidate_addresses(self, state):
         # Kept until the newer one is known to be readable: a daemon must
         # not lose its configuration to a body that it cannot read.
         if state.kind in (MEMBERS_KIND, VMS_KIND):
--- a/godwitlanding/tests/benchmarks/bench_claims.py
+++ b/godwitlanding/tests/benchmarks/bench_claims.py
@@ -18,7 +18,7 @@
 from result import Ok
 
 from godwitlanding.daemons.daemon import make_context
-from godwitlanding.daemons.journaltext import Outcome
+from godwitlanding.daemons.journalformat import Outcome
 from godwitlanding.daemons.services.journal import JournalWriter
 from godwitlanding.daemons.ticket import JOURNALED, Ticket
 from godwitlanding.tests.benchmarks.measure import format_table
--- a/godwitlanding/tests/benchmarks/bench_journal.py
+++ b/godwitlanding/tests/benchmarks/bench_journal.py
@@ -15,7 +15,7 @@
 from godwitlanding.base.settings import check_settings
 from godwitlanding.daemons.daemon import make_context
 from godwitlanding.daemons.journal import Journal
-from godwitlanding.daemons.journaltext import Outcome
+from godwitlanding.daemons.journalformat import Outcome
 from godwitlanding.daemons.services.journal import JournalWriter
 from godwitlanding.daemons.ticket import JOURNALED, Ticket
 from godwitlanding.tests.benchmarks.measure import format_table, plot, run_benchmark
--- a/godwitlanding/tests/daemons/test_arbiter_states.py
+++ b/godwitlanding/tests/daemons/test_arbiter_states.py
@@ -139,12 +139,12 @@
         self.check(self.arbiter.tick(self.now))
 
     @invariant()
-    def nobody_waits_past_the_deadline(self):
+    def no_request_waits_past_its_deadline(self):
         late = [a for a in self.waiting_by_id.values() if a.deadline < self.now]
         assert not late
 
     @invariant()
-    def books_agree(self):
+    def status_matches_the_model(self):
         status = self.arbiter.get_status(self.now)
         assert status["queued"] == len(self.waiting_by_id)
         assert status["usable_slots"] <= SLOTS * len(UPSTREAMS)
--- a/godwitlanding/tests/daemons/test_blocks.py
+++ b/godwitlanding/tests/daemons/test_blocks.py
@@ -43,7 +43,7 @@
         ("", None),
     ],
 )
-def test_address_is_read(text, number):
+def test_address_is_parsed(text, number):
     assert parse_address(text) == number
 
 
@@ -51,7 +51,7 @@
     ("address", "group"),
     [(0, 0), (99, 0), (100, 1), (199, 1), (200, 2), (299, 2), (300, 0)],
 )
-def test_block_reaches_to_the_next(address, group):
+def test_block_ends_where_the_next_begins(address, group):
     assert make_table().find(address) == group
 
 
@@ -107,7 +107,7 @@
     assert found == [0, 7, 8, 8, 0]
 
 
-def test_half_a_table_answers_nothing():
+def test_incomplete_table_is_not_used():
     """A piece is still missing, as after a broken connection.
 
     Its callers would be taken for unlisted ones and sent to other zones.
@@ -158,6 +158,6 @@
         BlockLoader().offer(name, body)
 
 
-def test_piece_survives_the_platform():
+def test_piece_round_trips():
     piece = make_piece([(5, 1), (70_000, 700), (LAST_ADDRESS, 65_535)])
     assert parse_piece(format_piece(piece, 3)) == (3, piece)
--- a/godwitlanding/tests/daemons/test_claims.py
+++ b/godwitlanding/tests/daemons/test_claims.py
@@ -22,7 +22,7 @@
 )
 from godwitlanding.tests.daemons.test_carry import crash, refuse_with
 from godwitlanding.tests.daemons.test_entry import fetch
-from godwitlanding.tests.daemons.test_journal import run_to
+from godwitlanding.tests.daemons.test_journal import run_until
 from godwitlanding.tests.support import FakeStore
 
 
@@ -157,7 +157,7 @@
         assert count_runs(bench) == 1
         bench.store.set_available(True)
         writer = bench.kernel.get("journal")
-        await wait_until(lambda: not writer.journal.is_unsettled)
+        await wait_until(lambda: not writer.journal.has_unresolved_writes)
         assert await press(bench, ticket) == (201, b"paid")
         assert count_runs(bench) == 2
 
@@ -214,7 +214,7 @@
     # ``run_to`` presses with this fingerprint.
     monkeypatch.setattr(claims, "compute_body_fingerprint", lambda request: 7)
     async with Bench(ADDRESS, [pay]) as bench:
-        _, platform = run_to(step)
+        _, platform = run_until(step)
         if platform.stored:
             stored = platform.stored
             await bench.store.put(JOURNAL_KIND, "h0", stored.value, 0)
--- a/godwitlanding/tests/daemons/test_holdings.py
+++ b/godwitlanding/tests/daemons/test_holdings.py
@@ -5,7 +5,7 @@
 import pytest
 
 from godwitlanding.base.messages import Granted, HeldPermit, Holdings
-from godwitlanding.daemons.holdings import EXPIRED, STALE, PermitBook
+from godwitlanding.daemons.holdings import EXPIRED, STALE, HeldPermits
 from godwitlanding.tests.daemons.support_entry import (
     ADDRESS,
     Bench,
@@ -18,7 +18,7 @@
 
 
 def make_book(*permits):
-    book = PermitBook(0.5)
+    book = HeldPermits(0.5)
     for granted in permits:
         book.accept(granted, 0.0, "a:1", 0.2).unwrap()
     return book
@@ -35,15 +35,15 @@
         ("", (), 5.0, EXPIRED),
     ],
 )
-def test_grant_is_used_only_when_it_is_current(heeded, upstreams, now, error):
+def test_grant_is_used_only_when_it_is_current(current_arbiter, upstreams, now, error):
     """A new arbiter has asked for the open permits while a grant of the
     former one is still under way, or the grant comes very late.
 
     Using it would put one request more on the upstream than it has slots.
     """
     book = make_book()
-    if heeded:
-        book.answer(Holdings(heeded, "status", upstreams), 0.1)
+    if current_arbiter:
+        book.answer(Holdings(current_arbiter, "status", upstreams), 0.1)
     accepted = book.accept(GRANT, 0.0, "a:1", now)
     assert accepted.err() == error
 
@@ -69,7 +69,7 @@
     assert ended.permits == ()
 
 
-async def test_grant_that_meets_a_caller_who_left_is_given_back():
+async def test_grant_for_a_disconnected_caller_is_released():
     """The caller goes while the arbiter's grant is already under way.
 
     Its slot would stand idle until the permit expires.
@@ -89,7 +89,7 @@
         assert not bench.upstreams[0].heads
 
 
-async def test_request_moves_on_from_a_silent_arbiter():
+async def test_request_moves_from_a_silent_arbiter_to_its_replacement():
     """The arbiter is paused with requests in its queue and is replaced.
 
     Its callers would otherwise wait until their deadlines for nothing.
--- a/godwitlanding/tests/daemons/test_journal.py
+++ b/godwitlanding/tests/daemons/test_journal.py
@@ -11,7 +11,7 @@
 from godwitlanding.base.codes import Code
 from godwitlanding.base.storetypes import StoredObject
 from godwitlanding.daemons.journal import Claim, Journal, close_journal
-from godwitlanding.daemons.journaltext import Closer, Outcome, parse_journal
+from godwitlanding.daemons.journalformat import Closer, Outcome, parse_journal
 from godwitlanding.daemons.ticket import JOURNALED, MEMORY_ONLY, Ticket
 
 CI_SCHEDULES = 100
@@ -48,7 +48,7 @@
     assert claim.may_dispatch
 
 
-def run_to(step):
+def run_until(step):
     """Bring a home as far as ``step``; return its journal and object."""
     journal, platform = Journal("h0"), FakeObject()
     claim = journal.press(make_ticket(), 7).unwrap()
@@ -80,13 +80,13 @@
         ("unknown", Code.OUTCOME_UNKNOWN),
     ],
 )
-def test_press_after_the_home_was_killed(step, expected):
+def test_retry_after_the_home_was_killed(step, expected):
     """A home is killed at some step of a payment; its caller presses again.
 
     Run a second time, a pensioner would be charged twice; told "unknown"
     where nothing was claimed, she would be sent to the helpline for nothing.
     """
-    _, platform = run_to(step)
+    _, platform = run_until(step)
     closed, value = close_journal(platform.stored, "h0", Closer("za2", "h1"))
     assert platform.put(value, platform.stored.version if platform.stored else 0)
     pressed = Journal("h1").press(make_ticket(), 7, [closed])
@@ -99,18 +99,18 @@
 
 
 @pytest.mark.parametrize("step", ["pressed", "answer lost", "claimed"])
-def test_home_that_was_paused_past_its_replacement_runs_nothing_new(step):
+def test_replaced_home_dispatches_no_new_claim(step):
     """A home is paused, its journal is closed by another, and it goes on.
 
     Whatever it had not claimed in time belongs to the other now.
     """
-    journal, platform = run_to(step)
+    journal, platform = run_until(step)
     _, value = close_journal(platform.stored, "h0", Closer("za2", "h1"))
     platform.put(value, platform.stored.version if platform.stored else 0)
     late = journal.press(make_ticket("n2"), 7).unwrap()
     write = journal.begin_write()
     assert platform.put(write.value, write.expected_version) is None
-    assert journal.settle(platform.stored) == []
+    assert journal.reconcile(platform.stored) == []
     assert journal.closed_by == Closer("za2", "h1")
     assert late in journal.void_waiting()
     assert not late.may_dispatch
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("took_effect", [True, False])
-def test_lost_answer_is_settled_by_reading_back(took_effect):
+def test_write_without_a_response_is_reconciled(took_effect):
     """The platform does a write, or not, and its answer is lost either way.
 
     Dispatching on a guess, a write that fails later would leave a payment
@@ -130,7 +130,7 @@
     write = journal.begin_write()
     if took_effect:
         platform.put(write.value, write.expected_version)
-    assert journal.settle(platform.stored) == ([claim] if took_effect else [])
+    assert journal.reconcile(platform.stored) == ([claim] if took_effect else [])
     assert claim.may_dispatch is took_effect
     again = journal.begin_write()
     version = platform.put(again.value, again.expected_version)
@@ -138,37 +138,37 @@
     assert claim.may_dispatch
 
 
-def test_journal_that_a_restored_platform_has_lost_is_written_again():
+def test_journal_lost_by_a_restore_is_written_again():
     # Written on a version that is gone, no claim would be recorded any more.
-    journal, platform = run_to("answer lost")
-    journal.settle(platform.stored)
+    journal, platform = run_until("answer lost")
+    journal.reconcile(platform.stored)
     platform.stored = None
     claim = journal.press(make_ticket("n2"), 7).unwrap()
     write = journal.begin_write()
     assert platform.put(write.value, write.expected_version) is None
-    assert journal.settle(platform.stored) == []
+    assert journal.reconcile(platform.stored) == []
     again = journal.begin_write()
     version = platform.put(again.value, again.expected_version)
     assert version is not None
     assert claim in journal.end_write(again, version)
 
 
-def test_write_that_takes_effect_late_is_known_from_its_number():
+def test_late_write_is_identified_by_its_number():
     """A write hangs, the next is sent, and the first takes effect first."""
     journal, platform = Journal("h0"), FakeObject()
     first = journal.press(make_ticket("n1"), 7).unwrap()
     slow = journal.begin_write()
-    journal.settle(platform.stored)
+    journal.reconcile(platform.stored)
     second = journal.press(make_ticket("n2"), 7).unwrap()
     fast = journal.begin_write()
     platform.put(slow.value, slow.expected_version)
     assert platform.put(fast.value, fast.expected_version) is None
-    assert journal.settle(platform.stored) == [first]
+    assert journal.reconcile(platform.stored) == [first]
     assert (first.may_dispatch, second.may_dispatch) == (True, False)
 
 
 @pytest.mark.parametrize("kind", [JOURNALED, MEMORY_ONLY])
-def test_second_press_at_home(kind):
+def test_retry_at_the_home(kind):
     """A caller presses again while its first press runs, and afterwards."""
     journal = Journal("h0")
     ticket = make_ticket(kind=kind)
@@ -186,7 +186,7 @@
     Nothing is known of it then, so it must not be taken for new work, at
     home or at the process that replaced it.
     """
-    journal, platform = run_to("done")
+    journal, platform = run_until("done")
     journal.forget(100)
     assert journal.press(make_ticket(), 7).unwrap_err().code == Code.TICKET_EXPIRED
     write = journal.begin_write()
@@ -196,7 +196,7 @@
     assert pressed.unwrap_err().code == Code.TICKET_EXPIRED
 
 
-def test_work_under_way_is_not_forgotten():
+def test_record_of_running_work_is_kept():
     journal = Journal("h0")
     journal.press(make_ticket(), 7)
     journal.forget(500)
@@ -204,7 +204,7 @@
 
 
 def test_bodies_are_dropped_from_the_platform_but_not_from_memory():
-    journal, _ = run_to("done")
+    journal, _ = run_until("done")
     journal.drop_bodies(100)
     text = parse_journal(journal.begin_write().value)
     assert text.entry_by_nonce["n1"].outcome == PAID._replace(body=None)
@@ -307,8 +307,8 @@
 
     def write(self, home, fate):
         journal, platform = self.journals[home], self.platforms[home]
-        if journal.is_unsettled:
-            self.settle(home)
+        if journal.has_unresolved_writes:
+            self.reconcile(home)
         write = journal.begin_write()
         if fate == "late":
             self.writes[home].append(write)
@@ -317,13 +317,13 @@
         if version and fate == "answered":
             journal.end_write(write, version)
 
-    def land_late(self, home):
+    def apply_late_write(self, home):
         if self.writes[home]:
             write = self.writes[home].pop(0)
             self.platforms[home].put(write.value, write.expected_version)
 
-    def settle(self, home):
-        self.journals[home].settle(self.platforms[home].stored)
+    def reconcile(self, home):
+        self.journals[home].reconcile(self.platforms[home].stored)
         if self.journals[home].closed_by:
             self.journals[home].void_waiting()
 
--- a/godwitlanding/tests/daemons/test_loan.py
+++ b/godwitlanding/tests/daemons/test_loan.py
@@ -6,7 +6,7 @@
 from godwitlanding.daemons.borrower import Borrower
 from godwitlanding.daemons.loan import Handover, Lender
 from godwitlanding.daemons.roster import EMPTY_ROSTER, Candidate, Roster
-from godwitlanding.daemons.steward import Steward, Surroundings
+from godwitlanding.daemons.upstreamowner import RosterInputs, UpstreamOwner
 
 LOAN_S = 1.5
 PERMIT_S = 2.0
@@ -47,7 +47,7 @@
     borrower = Borrower("a", "status")
     loan = borrower.make_loan("me", 10.0)
     lent = lender.lend(loan, ["u1"], PERMIT_S, 10.4)
-    gains, _ = borrower.take_lent("me", loan, lent, 10.0, PERMIT_S, 10.9)
+    gains, _ = borrower.accept_lent("me", loan, lent, 10.0, PERMIT_S, 10.9)
     assert gains[0].until == pytest.approx(11.5)
     assert not lender.is_free("u1", 11.9)
 
@@ -110,7 +110,7 @@
     assert ask(lender, "b", 0.5).upstreams == ()
 
 
-def test_late_answer_is_not_taken():
+def test_late_loan_answer_is_ignored():
     """An answer comes after its question was given up and asked anew.
 
     By the second question the owner has learnt that nothing is in use and
@@ -121,10 +121,10 @@
     first = borrower.make_loan("me", 0.0)
     lent = lender.lend(first, ["u1"], PERMIT_S, 0.1)
     borrower.make_loan("me", 0.5)
-    assert borrower.take_lent("me", first, lent, 0.0, PERMIT_S, 0.6) == ([], [])
+    assert borrower.accept_lent("me", first, lent, 0.0, PERMIT_S, 0.6) == ([], [])
 
 
-def test_upstream_that_came_back_is_taken_as_new():
+def test_regained_upstream_is_treated_as_new():
     """A member gives an upstream up and gets it back without seeing between.
 
     Its memory of the borrower is out of date: another arbiter has had the
@@ -147,25 +147,25 @@
     lender = make_lender()
     loan = borrower.make_loan("me", 0.0)
     lent = lender.lend(loan, ["u1"], PERMIT_S, 0.0)
-    borrower.take_lent("me", loan, lent, 0.0, PERMIT_S, 0.1)
+    borrower.accept_lent("me", loan, lent, 0.0, PERMIT_S, 0.1)
     borrower.add_holder(HOLDER)
     assert not borrower.may_grant_to(HOLDER, 0.2)
     loan = borrower.make_loan("me", 0.3)
     lent = lender.lend(loan, ["u1"], PERMIT_S, 0.3)
-    borrower.take_lent("me", loan, lent, 0.3, PERMIT_S, 0.4)
+    borrower.accept_lent("me", loan, lent, 0.3, PERMIT_S, 0.4)
     assert borrower.may_grant_to(HOLDER, 0.5)
     assert HOLDER in ask(lender, "b", 2.0).holders
 
 
 def make_steward():
-    steward = Steward("vm1", "me", LOAN_S, 0.0)
-    steward.take_roster(Roster({"u1": "vm1"}, {"u1": CLEAN}), 5, 0.0)
+    steward = UpstreamOwner("vm1", "me", LOAN_S, 0.0)
+    steward.update_roster(Roster({"u1": "vm1"}, {"u1": CLEAN}), 5, 0.0)
     return steward
 
 
-def look(vms, gone=(), leaving=False, is_writer=False):
+def make_inputs(vms, gone=(), leaving=False, is_writer=False):
     candidates = tuple(Candidate(vm, f"{vm}-zone", 0.0) for vm in vms)
-    return Surroundings(candidates, gone, is_writer, True, leaving)
+    return RosterInputs(candidates, gone, is_writer, True, leaving)
 
 
 def test_upstream_given_up_by_a_lost_write_is_not_lent():
@@ -175,10 +175,10 @@
     """
     steward = make_steward()
     permits = {"u1": PERMIT_S}
-    assert steward.find_change(look(["vm2"], leaving=True), permits, 5.0)
-    steward.find_change(look(["vm1"]), permits, 6.0)
+    assert steward.plan_change(make_inputs(["vm2"], leaving=True), permits, 5.0)
+    steward.plan_change(make_inputs(["vm1"]), permits, 6.0)
     assert ask(steward.lender, "a", 6.1).upstreams == ()
-    steward.take_roster(Roster({"u1": "vm2"}, {}), 6, 7.0)
+    steward.update_roster(Roster({"u1": "vm2"}, {}), 6, 7.0)
     assert ask(steward.lender, "a", 7.1, 2).upstreams == ()
 
 
@@ -186,10 +186,10 @@
     """A VM is stopped while the arbiter still grants on its upstreams."""
     steward = make_steward()
     ask(steward.lender, "a", 5.0)
-    around = look(["vm2"], leaving=True)
-    assert steward.find_change(around, {"u1": PERMIT_S}, 5.5) is None
+    inputs = make_inputs(["vm2"], leaving=True)
+    assert steward.plan_change(inputs, {"u1": PERMIT_S}, 5.5) is None
     assert ask(steward.lender, "a", 5.6, 2, holding=("u1",)).upstreams == ()
-    given = steward.find_change(around, {"u1": PERMIT_S}, 7.2)
+    given = steward.plan_change(inputs, {"u1": PERMIT_S}, 7.2)
     assert given.owner_by_upstream == {"u1": "vm2"}
     assert given.handover_by_upstream["u1"].former_arbiter == "a"
 
@@ -208,20 +208,20 @@
     Taken over at once, the upstreams would get a second user. A VM that is
     silent but listed keeps them.
     """
-    steward = Steward("vm1", "me", LOAN_S, 0.0)
-    steward.take_roster(Roster({"u1": "vm2"}, {}), 5, 0.0)
-    around = look(["vm1"], gone, is_writer=True)
-    steward.find_change(around, {"u1": PERMIT_S}, 10.0)
-    changed = steward.find_change(around, {"u1": PERMIT_S}, 10.0 + after_s)
+    steward = UpstreamOwner("vm1", "me", LOAN_S, 0.0)
+    steward.update_roster(Roster({"u1": "vm2"}, {}), 5, 0.0)
+    inputs = make_inputs(["vm1"], gone, is_writer=True)
+    steward.plan_change(inputs, {"u1": PERMIT_S}, 10.0)
+    changed = steward.plan_change(inputs, {"u1": PERMIT_S}, 10.0 + after_s)
     owners = (changed or steward.roster).owner_by_upstream
     assert owners == {"u1": owner}
 
 
-def test_new_upstreams_are_shared_out_by_one_write():
-    steward = Steward("vm1", "me", LOAN_S, 0.0)
+def test_new_upstreams_are_distributed_by_one_write():
+    steward = UpstreamOwner("vm1", "me", LOAN_S, 0.0)
     permits = {f"u{i}": PERMIT_S for i in range(40)}
-    around = look(["vm1", "vm2", "vm3", "vm4"], is_writer=True)
-    roster = steward.find_change(around, permits, 1.0)
+    inputs = make_inputs(["vm1", "vm2", "vm3", "vm4"], is_writer=True)
+    roster = steward.plan_change(inputs, permits, 1.0)
     owners = list(roster.owner_by_upstream.values())
     assert len(owners) == 40
     assert min(owners.count(vm) for vm in set(owners)) >= 4
--- a/godwitlanding/tests/daemons/test_membership.py
+++ b/godwitlanding/tests/daemons/test_membership.py
@@ -19,7 +19,7 @@
         ([make_member("a", leaving=True), make_member("b", alive=False)], {"a"}),
     ],
 )
-def test_zone_is_never_without_somebody_to_ask(members, serving):
+def test_zone_always_has_serving_members(members, serving):
     """Operators drain every VM of a zone, or its only one.
 
     With nobody to watch the platform the zone would not hear of the end of
@@ -30,7 +30,7 @@
     assert set(choose_reachable("watch/n-a", member_by_vm, 2)) == serving
 
 
-def test_member_that_reaches_the_platform_watches_first():
+def test_member_that_reaches_the_platform_is_chosen_first():
     members = [make_member("a", reachable=False), make_member("b")]
     member_by_vm = {member.vm: member for member in members}
     assert choose_reachable("watch/n-a", member_by_vm, 1) == ["b"]
--- a/godwitlanding/tests/daemons/test_desk.py
+++ b/godwitlanding/tests/daemons/test_permitserver.py
@@ -10,7 +10,7 @@
     Holder,
     PassOn,
 )
-from godwitlanding.daemons.borrower import Gain
+from godwitlanding.daemons.borrower import BorrowedUpstream
 from godwitlanding.tests.daemons.zone_processes import make_desk as make_zone_desk
 from godwitlanding.tests.daemons.zone_world import World
 
@@ -20,19 +20,19 @@
 
 
 def make_desk(asks, blocked_s=BLOCK_S):
-    desk = make_zone_desk("b", 7)
-    desk.set_addresses({"u1": "10.0.0.1:1"})
-    desk.active = True
-    desk.take_gain(Gain("u1", 99.0, True, blocked_s, asks), 1, 0.0)
-    return desk
+    server = make_zone_desk("b", 7)
+    server.set_addresses({"u1": "10.0.0.1:1"})
+    server.active = True
+    server.add_borrowed(BorrowedUpstream("u1", 99.0, True, blocked_s, asks), 1, 0.0)
+    return server
 
 
-def is_granted(desk, now):
+def is_granted(server, now):
     """Tell whether a request at ``now`` gets the one slot at once."""
     answers = []
     message = Acquire("status", str(now), "caller", 1, 10.0)
-    desk.tick(now)
-    desk.acquire(str(now), HOLDER, message, 10.0, answers.append, now)
+    server.tick(now)
+    server.acquire(str(now), HOLDER, message, 10.0, answers.append, now)
     return bool(answers) and isinstance(answers[0], Granted)
 
 
@@ -52,30 +52,30 @@
 
     Granting before it knows them would run two requests on one slot.
     """
-    desk = make_desk(asks)
+    server = make_desk(asks)
     for holder in answered:
-        desk.take_held(holder, ("u1",), Held(), 0.1)
-    assert is_granted(desk, now) is granted
+        server.add_held_permits(holder, ("u1",), Held(), 0.1)
+    assert is_granted(server, now) is granted
 
 
-def test_permit_of_the_former_arbiter_fills_its_slot():
+def test_permit_of_the_former_arbiter_occupies_its_slot():
     """A holder reports a permit that is open for another second."""
     held = Held((HeldPermit(5, "u1", 1.0),))
     for now, granted in ((1.4, False), (1.6, True)):
-        desk = make_desk((HOLDER,))
-        desk.take_held(HOLDER, ("u1",), held, 0.5)
-        assert is_granted(desk, now) is granted
+        server = make_desk((HOLDER,))
+        server.add_held_permits(HOLDER, ("u1",), held, 0.5)
+        assert is_granted(server, now) is granted
 
 
-def test_block_outlasts_a_second_gain():
+def test_block_outlasts_a_renewed_loan():
     """The loan lapses and comes again while holders have still to answer.
 
     A second gain that counted as known would end the wait too early.
     """
-    desk = make_desk((HOLDER, OTHER))
-    desk.lose(["u1"])
-    desk.take_gain(Gain("u1", 99.0, True), 1, 1.0)
-    assert not is_granted(desk, 1.9)
+    server = make_desk((HOLDER, OTHER))
+    server.stop_granting(["u1"])
+    server.add_borrowed(BorrowedUpstream("u1", 99.0, True), 1, 1.0)
+    assert not is_granted(server, 1.9)
 
 
 def kill_arbiter(world):
@@ -128,7 +128,7 @@
         lose_answers_and_replace,
     ],
 )
-def test_zone_survives(fault, seed):
+def test_zone_recovers_from_fault(fault, seed):
     """A zone in full use loses an arbiter, a holder, a link or every VM.
 
     Its upstreams never run more than their slots, and its callers are
@@ -147,18 +147,18 @@
     assert set(busy.values()) == set(world.slots_by_upstream)
 
 
-def test_leave_to_pass_on_lasts_as_long_as_the_request():
+def test_spill_is_valid_for_the_remaining_time():
     """A zone without usable upstreams passes a request on.
 
     With no time given, the other zone's answer was never waited for: the
     request ran there and its caller was told that it had timed out.
     """
-    desk = make_zone_desk("a", 7)
-    desk.arbiter.set_allowances({"b": 1}, 10.0)
+    server = make_zone_desk("a", 7)
+    server.arbiter.set_allowances({"b": 1}, 10.0)
     answers = []
     message = Acquire("status", "r1", "caller", 1, remaining_s=2.5)
-    desk.acquire("r1", HOLDER, message, 3.0, answers.append, 10.0)
-    desk.tick(11.6)
+    server.acquire("r1", HOLDER, message, 3.0, answers.append, 10.0)
+    server.tick(11.6)
     (answer,) = answers
     assert isinstance(answer, PassOn)
     assert (answer.availability_zone, answer.valid_s) == ("b", 2.5)
--- a/godwitlanding/tests/daemons/test_trace.py
+++ b/godwitlanding/tests/daemons/test_trace.py
@@ -2,12 +2,12 @@
 
 import aiohttp
 
-from godwitlanding.daemons.trace import KEPT_EVENTS, Trace
+from godwitlanding.daemons.trace import MAX_EVENTS_PER_REQUEST, Trace
 from godwitlanding.tests.daemons.support_entry import ADDRESS, Bench, answer_hello
 
 
 def test_oldest_requests_are_forgotten():
-    trace = Trace(kept_requests=2)
+    trace = Trace(max_requests=2)
     for number in range(3):
         trace.add(f"r{number}", "arrived")
     assert [bool(trace.get(f"r{number}")) for number in range(3)] == [0, 1, 1]
@@ -15,9 +15,9 @@
 
 def test_events_of_a_request_are_bounded():
     trace = Trace()
-    for _ in range(KEPT_EVENTS + 5):
+    for _ in range(MAX_EVENTS_PER_REQUEST + 5):
         trace.add("r", "retried")
-    assert len(trace.get("r")) == KEPT_EVENTS
+    assert len(trace.get("r")) == MAX_EVENTS_PER_REQUEST
 
 
 async def test_carried_and_refused_requests_are_explained():
--- a/godwitlanding/tests/daemons/test_versions.py
+++ b/godwitlanding/tests/daemons/test_versions.py
@@ -3,7 +3,7 @@
 import pytest
 
 from godwitlanding.base.messages import State
-from godwitlanding.daemons.versions import TURN_SIZE, choose_versions
+from godwitlanding.daemons.versions import ROTATING_PER_HEARTBEAT, choose_versions
 
 FEW = [State(kind, "main", 7, b"") for kind in ("config", "plan", "secret")]
 
@@ -13,22 +13,22 @@
 
 
 @pytest.mark.parametrize("count", [0, 1, 2, 3, 4, 50, 1000])
-def test_every_object_has_its_turn(count):
+def test_every_object_is_listed_in_turn(count):
     """A push of a piece to one member is lost.
 
     The member finds it by the versions in heartbeats; a piece that is never
     told would leave its callers in another zone for good.
     """
     states = FEW + make_blocks(count)
-    told = set()
-    for turn in range(-(-count // TURN_SIZE)):
+    listed = set()
+    for turn in range(-(-count // ROTATING_PER_HEARTBEAT)):
         rows = choose_versions(states, turn)
-        assert len(rows) <= len(FEW) + TURN_SIZE
+        assert len(rows) <= len(FEW) + ROTATING_PER_HEARTBEAT
         assert {row.kind for row in rows} >= {"config", "plan", "secret"}
-        told |= {row.name for row in rows if row.kind == "blocks"}
-    assert len(told) == count
+        listed |= {row.name for row in rows if row.kind == "blocks"}
+    assert len(listed) == count
 
 
-def test_summaries_are_not_told():
+def test_summaries_are_not_listed():
     rows = choose_versions([State("summary", "za", 1, b""), *FEW], 0)
     assert len(rows) == len(FEW)
--- a/godwitlanding/tests/daemons/zone_processes.py
+++ b/godwitlanding/tests/daemons/zone_processes.py
@@ -12,9 +12,9 @@
     Release,
 )
 from godwitlanding.daemons.arbiter import Arbiter
-from godwitlanding.daemons.desk import PERMIT_ID_BITS, Desk
+from godwitlanding.daemons.permitserver import PERMIT_ID_BITS, PermitServer
 from godwitlanding.daemons.roster import Candidate
-from godwitlanding.daemons.steward import Steward, Surroundings
+from godwitlanding.daemons.upstreamowner import RosterInputs, UpstreamOwner
 
 SERVICE = "status"
 DEADLINE_S = 2.0
@@ -28,7 +28,7 @@
 def make_desk(incarnation, number):
     """Return a desk that numbers its permits in a range of its own."""
     first = number << PERMIT_ID_BITS
-    return Desk(incarnation, Arbiter(SERVICE, first), first)
+    return PermitServer(incarnation, Arbiter(SERVICE, first), first)
 
 
 class Running(NamedTuple):
@@ -46,7 +46,7 @@
         self.vm = vm
         self.incarnation = f"{vm}-zone-{number}"
         self.paused = False
-        self.steward = Steward(vm, self.incarnation, LOAN_S, world.now)
+        self.steward = UpstreamOwner(vm, self.incarnation, LOAN_S, world.now)
         self.desk = make_desk(self.incarnation, number)
         self.desk.set_addresses({u: u for u in world.slots_by_upstream})
         self.heard_at_by_vm = {}
@@ -83,7 +83,7 @@
             self.desk.active = True
             for owner in world.list_owners(self.steward.roster):
                 self.ask_owner(owner)
-            for holder, upstreams in self.desk.get_unanswered().items():
+            for holder, upstreams in self.desk.get_pending_upstreams().items():
                 self.ask_holder(holder, tuple(upstreams))
         elif self.desk.active:
             self.close()
@@ -96,11 +96,13 @@
     def read_roster(self):
         platform = self.world.platform
         if platform.available and self.vm not in self.world.cut_off:
-            self.steward.take_roster(platform.roster, platform.version, self.world.now)
+            self.steward.update_roster(
+                platform.roster, platform.version, self.world.now
+            )
 
     def keep_roster(self, view):
         world = self.world
-        around = Surroundings(
+        around = RosterInputs(
             candidates=tuple(
                 Candidate(vm, self.incarnation_by_vm[vm], self.since_by_vm[vm])
                 for vm in view
@@ -111,7 +113,7 @@
             leaving=False,
         )
         permits = dict.fromkeys(world.slots_by_upstream, DEADLINE_S)
-        roster = self.steward.find_change(around, permits, world.now)
+        roster = self.steward.plan_change(around, permits, world.now)
         if roster and self.vm not in world.cut_off:
             world.platform.put(roster, self.steward.version)
 
@@ -123,13 +125,13 @@
         def take(process, lent):
             if process is not self or not self.desk.active:
                 return
-            gains, lost = self.desk.borrower.take_lent(
+            gains, lost = self.desk.borrower.accept_lent(
                 owner, loan, lent, asked_at, DEADLINE_S, world.now
             )
-            self.desk.lose(lost)
+            self.desk.stop_granting(lost)
             for gain in gains:
                 slots = world.slots_by_upstream[gain.upstream]
-                self.desk.take_gain(gain, slots, world.now)
+                self.desk.add_borrowed(gain, slots, world.now)
 
         def answer(process):
             if process.get_arbiter() != self.vm:
@@ -146,7 +148,7 @@
 
         def take(process, held):
             if process is self:
-                self.desk.take_held(holder, upstreams, held, world.now)
+                self.desk.add_held_permits(holder, upstreams, held, world.now)
 
         def answer(entry):
             if entry.holder == holder:
@@ -158,7 +160,7 @@
     def close(self):
         self.desk.close(None)
         for owner in self.desk.borrower.get_owners():
-            self.desk.lose(self.desk.borrower.drop_owner(owner))
+            self.desk.stop_granting(self.desk.borrower.drop_owner(owner))
             message = self.desk.borrower.make_give_back()
             upstreams = sorted(self.world.slots_by_upstream)
             self.world.send(
--- a/godwitlanding/tests/decisions/test_choice.py
+++ b/godwitlanding/tests/decisions/test_choice.py
@@ -3,7 +3,7 @@
 import pytest
 
 from godwitlanding.base.storetypes import VmEntry
-from godwitlanding.daemons.fleet import list_targets
+from godwitlanding.daemons.entrytargets import list_targets
 from godwitlanding.daemons.view import Member
 from godwitlanding.decisions.choice import (
     choose_origin,
