--- a/godwitlanding/daemons/__init__.py
+++ b/godwitlanding/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Parts of the three daemons ``godwit-steer``, ``-entry`` and ``-zone``."""
+"""Modules of the daemons ``godwit-steer``, ``-entry`` and ``-zone``."""
--- a/godwitlanding/daemons/arbiter.py
+++ b/godwitlanding/daemons/arbiter.py
@@ -1,14 +1,15 @@
-"""Who gets the next free slot: one pooled queue for a service in a zone.
+"""Grants free upstream slots from one queue per service and zone.
 
-Joins the decisions of the modules around it: ``queue`` and ``fairness`` say
-who is next, ``admission`` who may wait, ``reserve`` how many slots long
-jobs hold, ``pool``, ``outlier`` and ``warmup`` which upstream takes the
-work, ``poison`` what must not run, ``spill`` what goes to another zone.
+Combines other modules: ``queue`` and ``fairness`` order the requests,
+``admission`` limits the waiting time, ``longjobs`` limits the slots of long
+jobs, ``pool``, ``outlier`` and ``warmup`` choose the upstream, ``poison``
+blocks requests that crash upstreams, and ``spill`` sends requests to other
+zones.
 
-Pure: no network and no clock of its own. Every method takes ``now`` in
-seconds of one monotonic clock and returns the decisions that became due;
-each request gets one final decision or is withdrawn. The daemon calls
-``tick`` at ``get_next_time()``.
+Pure: it uses no network and no clock. Methods take ``now`` in seconds of
+one monotonic clock and return the decisions that became due. Each request
+gets one final decision or is withdrawn. The daemon calls ``tick`` at
+``get_next_time()``.
 
 >>> arbiter = Arbiter("status")
 >>> arbiter.set_loan("s1", slots=3, until=10.0, now=0.0)
@@ -31,8 +32,8 @@
 
 DEFAULT_WORK_S = 0.05
 DEFAULT_SLOW_START_S = 10.0
-# Requests at the head that may use none of the free upstreams are passed
-# over, this many at most, so that a decision's cost stays bounded.
+# Requests at the head of the queue that may use none of the free upstreams
+# are skipped, at most this many, which bounds the cost of a decision.
 MAX_SKIPPED = 8
 SUSPECT_RETRY_AFTER_S = 1.0
 
@@ -40,10 +41,10 @@
 
 
 class Arbiter:
-    """Grants the slots that owners have lent to it.
+    """Grants the slots of the upstreams that their owners lend to it.
 
-    ``work_s`` and ``slow_start_s`` are the service's, from the
-    configuration. ``poison`` may be shared by all arbiters of a process.
+    ``work_s`` and ``slow_start_s`` come from the service's configuration.
+    ``poison`` may be shared by all arbiters of a process.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
         slow_start_s=DEFAULT_SLOW_START_S,
         poison=None,
     ):
-        """Serve ``service``; permit ids count up from ``first_permit_id``."""
+        """Create an arbiter whose permit ids start at ``first_permit_id``."""
         self.service = service
         self.poison = poison or PoisonLedger()
         self.admission = Admission(work_s)
@@ -72,7 +73,7 @@
         self._now = 0.0
 
     def set_loan(self, upstream_id, slots, until, now):
-        """Take or renew a loan of an upstream until ``until``."""
+        """Add or renew the loan of an upstream until ``until``."""
         upstream = self.pool.get(upstream_id)
         upstream.slots = slots
         upstream.loan_end = until
@@ -81,32 +82,35 @@
         return self.tick(now)
 
     def end_loan(self, upstream_id):
-        """Grant nothing more on an upstream; its open permits stay known."""
+        """End the loan of an upstream; its open permits stay counted."""
         upstream = self.pool.get(upstream_id)
         upstream.loan_end = 0.0
         self.outliers.remove(upstream_id)
         self.pool.refresh(upstream, self._now)
 
     def block(self, upstream_id, until):
-        """Grant nothing on an upstream before ``until``: permits unknown."""
+        """Grant nothing on an upstream until ``until``.
+
+        Used while its open permits are unknown.
+        """
         upstream = self.pool.get(upstream_id)
         upstream.blocked_until = until
         self.pool.refresh(upstream, self._now)
 
     def unblock(self, upstream_id, now):
-        """Every holder has answered: the open permits are known."""
+        """End a block, as all open permits of the upstream are known."""
         upstream = self.pool.get(upstream_id)
         upstream.blocked_until = 0.0
         self.pool.refresh(upstream, now)
         return self.tick(now)
 
     def add_open_permit(self, permit_id, upstream_id, until):
-        """Count a permit that a former arbiter granted."""
+        """Add an open permit that a former arbiter granted."""
         permit = Permit(upstream_id, None, 0, False)
         self._permits.open(permit_id, permit, until, self._now)
 
     def set_usable(self, upstream_id, usable, now):
-        """Take the word of drains, probes and the platform on an upstream."""
+        """Set whether drains, probes and the platform allow an upstream."""
         upstream = self.pool.get(upstream_id)
         if usable != upstream.usable:
             upstream.usable = usable
@@ -114,27 +118,27 @@
         return self.tick(now)
 
     def note_cold(self, upstream_id, now):
-        """Give an upstream that has just started its work slowly.
+        """Start the warm-up of an upstream that has just restarted.
 
-        Whether it may be used at all is for ``set_usable`` to say: an
-        upstream may restart while it leaves.
+        This does not make it usable, as an upstream may restart while it
+        is leaving; see ``set_usable``.
         """
         self.warmup.note_cold(upstream_id, now)
         self.pool.refresh(self.pool.get(upstream_id), now)
         return self.tick(now)
 
     def set_allowances(self, allowance_by_zone, now):
-        """Take the plan's spill allowances: requests in flight by zone."""
+        """Set the plan's spill allowances: requests in flight by zone."""
         self.spill.set_allowances(allowance_by_zone)
         return self.tick(now)
 
     def note_poison(self, fingerprint, upstream_id, crashes, now):
-        """Take a ``Poison`` message; refuse what waits with it at once."""
+        """Apply a ``Poison`` message; refuse queued requests that match it."""
         self.poison.note_report(fingerprint, upstream_id, crashes, now)
         return self.tick(now)
 
     def acquire(self, ask, now):
-        """Queue a request; the decisions may hold its own."""
+        """Queue a request; return the decisions, which may include its own."""
         decisions = self.tick(now)
         if ask.deadline <= now:
             refusal = Refusal(
@@ -154,25 +158,25 @@
         return decisions
 
     def withdraw(self, request_id, now):
-        """Forget a request whose caller has gone."""
+        """Remove a request whose caller has disconnected."""
         self._intake.withdraw(request_id)
         return self.tick(now)
 
     def release(self, permit_id, outcome, took_s, now):
-        """Free the slot of a permit; ``outcome`` as in ``messages``."""
+        """Free a permit's slot; ``outcome`` is from ``messages.OUTCOMES``."""
         permit = self._permits.get(permit_id)
         if permit:
             self._permits.close(permit_id, now)
-            self._outcome_recorder.note(permit, outcome, took_s, now)
+            self._outcome_recorder.record(permit, outcome, took_s, now)
         return self.tick(now)
 
     def end_spill(self, request_id, now):
-        """The request that was passed on has ended."""
+        """Record that a request sent to another zone has ended."""
         self._intake.end_spill(request_id)
         return self.tick(now)
 
     def get_next_time(self):
-        """Return when ``tick`` has to be called next, or ``None``."""
+        """Return the time of the next ``tick``, or ``None``."""
         times = (
             self._intake.get_next_time(),
             self._permits.get_next_time(),
@@ -191,7 +195,7 @@
         return self._grant_waiting(now) + refused
 
     def get_status(self, now):
-        """Return slots, busy, queued and usable upstreams for operators."""
+        """Return the state of queue, slots and upstreams for operators."""
         upstreams = self.pool.upstream_by_id.values()
         return {
             "queued": len(self._intake.queue),
--- a/godwitlanding/daemons/blocks.py
+++ b/godwitlanding/daemons/blocks.py
@@ -1,13 +1,13 @@
-"""Caller blocks: which site the block of a caller's address belongs to.
+"""Maps a caller's IPv4 address to the site of its address block.
 
-Pure: no network and no clock. The table answers the pattern of 900
-look-ups a second on each node against 3.2 million blocks, of which a few
-change at a time. Packed arrays (4 bytes start, 2 bytes group) hold it in 19
-MB, cut into pieces so that a change moves the bytes of one piece only.
+Pure: no network and no clock. The table is built for 900 look-ups a second
+on each node in 3.2 million blocks, of which a few change at a time. Packed
+arrays (4 bytes for the start, 2 bytes for the group) take 19 MB. They are
+split into pieces so that a change moves the bytes of one piece only.
 ``docs/CAPACITY.md`` has the measurements.
 
-A block reaches from its start to the start of the next one. Group 0 is no
-site; group ``n`` is the ``n``-th site of the marker.
+A block ends where the next one starts. Group 0 means no site; group ``n``
+is the ``n``-th site of the marker.
 
 >>> table = BlockTable([make_piece([(0, 0), (167772160, 1)])])
 >>> table.find(parse_address("10.0.0.7"))
@@ -23,20 +23,20 @@
 GROUP = "H"
 NO_GROUP = 0
 LAST_ADDRESS = 2**32 - 1
-# One piece is decoded in one go: 65,536 blocks keep the event loop for 3 ms
-# as measured, so that look-ups wait no longer than that.
+# A piece is decoded in one go. 65,536 blocks block the event loop for 3 ms,
+# which is the longest delay of a look-up.
 BLOCKS_IN_PIECE = 65_536
 
 
 class Piece(NamedTuple):
-    """A run of blocks, sorted by their starts."""
+    """A contiguous run of blocks, sorted by start address."""
 
     starts: array
     groups: array
 
 
 class BlockChange(NamedTuple):
-    """Addresses ``first`` to ``last`` belong to ``group`` from now on."""
+    """Assigns the addresses ``first`` to ``last`` to ``group``."""
 
     first: int
     last: int
@@ -44,7 +44,7 @@
 
 
 def parse_address(text):
-    """Return the number of an IPv4 address, ``None`` where it is none."""
+    """Return an IPv4 address as a number, ``None`` if it is invalid."""
     try:
         return int.from_bytes(socket.inet_pton(socket.AF_INET, text), "big")
     except (OSError, ValueError):
@@ -52,7 +52,7 @@
 
 
 def make_piece(blocks):
-    """Return the piece of ``(start, group)`` pairs in order."""
+    """Return a piece of ``(start, group)`` pairs sorted by start."""
     return Piece(
         array(START, (start for start, _ in blocks)),
         array(GROUP, (group for _, group in blocks)),
@@ -60,7 +60,7 @@
 
 
 def split_piece(piece, size=BLOCKS_IN_PIECE):
-    """Return a piece as a list of pieces of at most ``size`` blocks."""
+    """Split a piece into pieces of at most ``size`` blocks."""
     return [
         Piece(piece.starts[at : at + size], piece.groups[at : at + size])
         for at in range(0, len(piece.starts), size)
@@ -68,10 +68,10 @@
 
 
 class BlockTable:
-    """The blocks of all callers, found by binary search."""
+    """The blocks of all callers, with look-up by binary search."""
 
     def __init__(self, pieces):
-        """Take pieces that follow one another in the order of addresses."""
+        """Create a table from pieces in ascending order of addresses."""
         self.pieces = list(pieces)
         self._first_starts = [piece.starts[0] for piece in self.pieces]
         in_order = all(
@@ -79,7 +79,7 @@
             for before, after in zip(self.pieces, self.pieces[1:])
         )
         if not in_order:
-            raise ValueError("the pieces overlap or are out of order")
+            raise ValueError("the pieces overlap or are not sorted by address")
 
     def __len__(self):
         return sum(len(piece.starts) for piece in self.pieces)
@@ -93,7 +93,7 @@
         return piece.groups[bisect_right(piece.starts, address) - 1]
 
     def apply(self, change):
-        """Set the group of a range of addresses."""
+        """Apply a ``BlockChange`` to the table."""
         first = change.first
         while first <= change.last:
             index = max(0, bisect_right(self._first_starts, first) - 1)
--- a/godwitlanding/daemons/blockstore.py
+++ b/godwitlanding/daemons/blockstore.py
@@ -1,22 +1,23 @@
-"""Caller blocks as objects of the platform: pieces, deltas, a marker.
+"""Encodes caller blocks as objects of the platform and loads them.
 
 Pure: no network and no clock. The table is far larger than the platform's
-largest value, and of its millions of blocks a handful change at a time.
-Rewriting it for each change would send every node megabytes; so a change
-is an object of its own, a delta, and now and then the pieces that deltas
-touched are written anew and the marker tells that they are folded in.
+largest value, and only a few of its millions of blocks change at a time.
+Rewriting it for each change would send megabytes to every node. Each change
+is therefore stored as a delta object. From time to time the pieces that
+deltas changed are rewritten, and the marker names the last delta that is
+folded into them.
 
 ``piece-NNNN``
-    a run of blocks, packed, in its generation;
+    a run of blocks, packed, with its generation;
 ``delta-NNNNNNNN``
     changes, numbered without gaps from 1;
 ``marker``
     JSON: the pieces with their generations, the number of the last delta
     folded into them, and the sites by group with their origin zones.
 
-Starts are stored as differences, then deflated: neighbouring blocks have
-much in common, and the copies that wait in memory to be passed on to other
-members take a fifth of the packed size.
+Starts are stored as differences and then deflated, since neighbouring
+blocks are similar. The copies kept in memory for other members take a fifth
+of the packed size.
 """
 
 import base64
@@ -38,19 +39,20 @@
 _PIECE_MAGIC = b"GWP1"
 _DELTA_MAGIC = b"GWD1"
 _COMPRESSION_LEVEL = 6
-# A piece is at most one megabyte packed; more is not one of ours.
+# A valid piece has at most one megabyte packed; objects above the limit are
+# rejected.
 _MAX_PACKED_BYTES = 8_000_000
 
 
 class Site(NamedTuple):
-    """A site of callers and the zone whose weights its callers follow."""
+    """A site of callers and the origin zone whose weights apply to them."""
 
     name: str
     availability_zone: str
 
 
 class Marker(NamedTuple):
-    """What makes a set of pieces whole; ``folded`` is a delta's number."""
+    """The pieces of a complete table and the last delta folded into them."""
 
     generation_by_piece: dict[str, int]
     folded: int
@@ -58,7 +60,7 @@
 
 
 def format_piece(piece, generation):
-    """Return the value of a piece's object."""
+    """Return the object value of a piece."""
     differences = array(START, piece.starts[:1])
     differences.extend(b - a for a, b in zip(piece.starts, piece.starts[1:]))
     columns = _split_columns(differences) + _split_columns(piece.groups)
@@ -66,19 +68,19 @@
 
 
 def parse_piece(body):
-    """Return ``(generation, piece)``; ``ValueError`` if it is none."""
+    """Return ``(generation, piece)``; raises ``ValueError``."""
     generation, count, columns = _unpack(_PIECE_MAGIC, body, 6)
     differences = _join_columns(START, columns[: 4 * count], count)
     try:
         starts = array(START, accumulate(differences))
     except OverflowError as error:
-        raise ValueError("starts past the last address") from error
+        raise ValueError("a block starts after the last IPv4 address") from error
     groups = _join_columns(GROUP, columns[4 * count :], count)
     return generation, Piece(starts, groups)
 
 
 def format_delta(number, changes):
-    """Return the value of the delta with that number."""
+    """Return the object value of the delta ``number``."""
     columns = b"".join(
         _split_columns(array(code, column))
         for code, column in zip((START, START, GROUP), zip(*changes))
@@ -87,7 +89,7 @@
 
 
 def parse_delta(body):
-    """Return ``(number, changes)``; ``ValueError`` if it is no delta."""
+    """Return ``(number, changes)``; raises ``ValueError``."""
     number, count, columns = _unpack(_DELTA_MAGIC, body, 10)
     firsts = _join_columns(START, columns[: 4 * count], count)
     lasts = _join_columns(START, columns[4 * count : 8 * count], count)
@@ -96,22 +98,22 @@
 
 
 def format_marker(marker):
-    """Return the value of the marker."""
+    """Return the object value of the marker."""
     return json.dumps(marker._asdict()).encode()
 
 
 def parse_marker(body):
-    """Return the marker; ``ValueError`` if it is none."""
+    """Return the ``Marker``; raises ``ValueError``."""
     try:
         value = json.loads(body)
         sites = tuple(Site(*site) for site in value["sites"])
         return Marker(value["generation_by_piece"], value["folded"], sites)
     except (KeyError, TypeError) as error:
-        raise ValueError(f"not a marker: {error}") from error
+        raise ValueError(f"invalid marker: {error}") from error
 
 
 def make_objects(pieces, sites, generation=1, folded=0):
-    """Return ``{name: value}`` of whole pieces and their marker."""
+    """Return ``{name: value}`` of all pieces and their marker."""
     names = [f"{PIECE_PREFIX}{index:04}" for index in range(len(pieces))]
     objects = {
         name: format_piece(piece, generation) for name, piece in zip(names, pieces)
@@ -122,10 +124,10 @@
 
 
 class BlockLoader:
-    """Puts a table together from objects that arrive in any order.
+    """Assembles a table from objects that arrive in any order.
 
-    The table in use stays until the next one is whole, so that no caller
-    is answered from half a table.
+    The current table is used until the next one is complete, so that no
+    look-up uses an incomplete table.
     """
 
     def __init__(self):
@@ -139,14 +141,14 @@
 
     @property
     def is_loading(self):
-        """Tell whether parts have arrived but no whole table yet."""
+        """Tell whether objects have arrived but no complete table yet."""
         has_parts = self._piece_by_key or self._marker
         return self.table is None and bool(has_parts)
 
     def offer(self, name, body):
-        """Take an object; tell whether the table changed by it.
+        """Add an object; return whether it changed the table.
 
-        Raises ``ValueError`` on an object that cannot be read.
+        Raises ``ValueError`` if the object can't be decoded.
         """
         if name == MARKER_NAME:
             self._marker = parse_marker(body)
@@ -157,10 +159,10 @@
             return self._assemble()
         if name.startswith(DELTA_PREFIX):
             number, _ = parse_delta(body)
-            # As bytes: ten deltas of 10,000 blocks took 13 MB as tuples.
+            # Kept encoded: ten deltas of 10,000 blocks took 13 MB as tuples.
             self._delta_by_number[number] = body
             return self._apply_deltas()
-        raise ValueError(f"no object of the blocks is named {name!r}")
+        raise ValueError(f"unknown name of a caller blocks object: {name!r}")
 
     def _assemble(self):
         if self._marker is None or self._marker is self._assembled_marker:
@@ -179,15 +181,16 @@
         return True
 
     def _drop_older_pieces(self):
-        # Newer ones wait for the marker that is to name them.
+        # Newer pieces are kept until the marker that names them arrives.
         generations = self._marker.generation_by_piece
         for name, generation in list(self._piece_by_key):
             if generation < generations.get(name, generation + 1):
                 del self._piece_by_key[name, generation]
 
     def _apply_deltas(self):
-        # A delta that overtook another would be undone by it: both would
-        # set the same block, and nodes would differ for good.
+        # Deltas are applied in order. An earlier delta applied last would
+        # overwrite a later one on the same block, and nodes would differ
+        # permanently.
         changed = False
         if self.table is None:
             return changed
@@ -201,7 +204,7 @@
 
 
 def _split_columns(values):
-    # High bytes are nearly all alike: side by side they deflate to little.
+    # High bytes hardly differ and compress well when they are adjacent.
     data = values.tobytes()
     size = values.itemsize
     return b"".join(data[at::size] for at in range(size))
@@ -229,8 +232,8 @@
         inflater = zlib.decompressobj()
         columns = inflater.decompress(data[_HEAD.size :], _MAX_PACKED_BYTES)
     except (struct.error, zlib.error) as error:
-        raise ValueError(f"not an object of the blocks: {error}") from error
-    whole = inflater.eof and len(columns) == count * row_bytes
-    if found != magic or not count or not whole:
-        raise ValueError("an object of the blocks with a wrong head")
+        raise ValueError(f"invalid caller blocks object: {error}") from error
+    is_complete = inflater.eof and len(columns) == count * row_bytes
+    if found != magic or not count or not is_complete:
+        raise ValueError("caller blocks object with an invalid header or size")
     return number, count, columns
--- a/godwitlanding/daemons/daemon.py
+++ b/godwitlanding/daemons/daemon.py
@@ -1,4 +1,4 @@
-"""What the three daemons share: command line, identity, start and stop."""
+"""Command line, process identity, start and stop of the daemons."""
 
 import argparse
 import asyncio
@@ -22,7 +22,7 @@
 
 
 class Context(NamedTuple):
-    """What every service of a process is given."""
+    """Settings, identity and shared state for all services of a process."""
 
     role: str
     settings: dict
@@ -41,7 +41,7 @@
         return self.settings["availability_zone"]
 
     def make_hello(self):
-        """Return the first message of this process to a peer."""
+        """Return the ``Hello`` of this process for a new connection."""
         return Hello(
             PROTOCOL_VERSION,
             self.role,
@@ -52,13 +52,13 @@
 
 
 def parse_arguments(role, description, argv=None):
-    """Return a daemon's arguments."""
+    """Return the parsed command line arguments of a daemon."""
     parser = argparse.ArgumentParser(prog=f"godwit-{role}", description=description)
     parser.add_argument(
         "--settings", required=True, metavar="FILE", help="Settings, JSON with comments"
     )
     parser.add_argument(
-        "--check", action="store_true", help="Check the settings and end"
+        "--check", action="store_true", help="Check the settings and exit"
     )
     parser.add_argument("--version", action="version", version=__version__)
     return parser.parse_args(argv)
@@ -72,7 +72,7 @@
 
 
 def run_daemon(role, description, make_services, argv=None):
-    """Run a daemon until it is told to stop; return its exit code.
+    """Run a daemon until it is stopped; return its exit code.
 
     ``make_services(context)`` returns the services of the process.
     """
--- a/godwitlanding/daemons/decision.py
+++ b/godwitlanding/daemons/decision.py
@@ -1,4 +1,4 @@
-"""What an arbiter is asked and what it decides."""
+"""Requests to an arbiter and its decisions."""
 
 from typing import NamedTuple
 
@@ -6,9 +6,9 @@
 
 
 class Ask(NamedTuple):
-    """A request that wants a slot; ``deadline`` is on the arbiter's clock.
+    """A request for a slot; ``deadline`` is on the arbiter's clock.
 
-    ``expected_s`` is a hint of how long the work takes, 0 for none.
+    ``expected_s`` is the expected work time, 0 if unknown.
     """
 
     request_id: str
@@ -32,14 +32,14 @@
 
 
 class Spill(NamedTuple):
-    """Leave to hand the request to another zone, once."""
+    """Permission to send the request to another zone, once."""
 
     availability_zone: str
     waited_s: float
 
 
 class Decision(NamedTuple):
-    """What becomes of a request: ``Grant``, ``Spill`` or ``Refusal``."""
+    """The final decision on a request."""
 
     request_id: str
     outcome: Grant | Spill | Refusal
--- a/godwitlanding/daemons/entrytargets.py
+++ b/godwitlanding/daemons/entrytargets.py
@@ -1,10 +1,11 @@
-"""Which entry VMs may be named to callers, joined from all that tells it.
-
-Pure: no network and no clock. The platform's list lags, the members' view
-covers one's own zone only, summaries tell who leaves elsewhere, and the
-operators drain VMs by the text. The first that says a VM leaves wins: a
-caller that is sent to a VM which stops would be cut off, while a VM passed
-over for a while costs nothing but headroom.
+"""Lists the entry VMs that callers may be directed to.
+
+Pure: no network and no clock. Combines the platform's VM list, which lags,
+the members of the own zone, the summaries of other zones, which list VMs
+that are leaving, and the drains in the configuration. A VM is left out as
+soon as one source reports that it is leaving: a caller directed to a
+stopping VM would be disconnected, while leaving out a VM for some time only
+costs headroom.
 """
 
 import json
@@ -16,7 +17,7 @@
 
 
 class Member(NamedTuple):
-    """A VM of one's own zone as its zone daemon sees it."""
+    """A VM of the own zone as reported by the zone daemon."""
 
     vm: str
     address: str
@@ -27,7 +28,7 @@
 
 
 class VmRow(NamedTuple):
-    """A row of the platform's list; ``state`` is live or leaving."""
+    """A row of the platform's VM list; ``state`` is live or leaving."""
 
     vm: str
     address: str
@@ -36,25 +37,25 @@
 
 
 def parse_vms(body):
-    """Return the rows in a ``vms`` state; ``ValueError`` if it is none."""
+    """Return the rows of a ``vms`` object; raises ``ValueError``."""
     return tuple(_parse_rows(VmRow, body, "vms"))
 
 
 def parse_members(body):
-    """Return the members in a ``members`` state; ``ValueError`` if none."""
+    """Return the members of a ``members`` object; raises ``ValueError``."""
     return tuple(_parse_rows(Member, body, "members"))
 
 
 def parse_leaving_vms(body):
-    """Return the VMs that a zone's summary says are leaving."""
+    """Return the leaving VMs in a zone's summary; raises ``ValueError``."""
     try:
         return frozenset(json.loads(body).get("leaving_vms", ()))
     except (AttributeError, TypeError) as error:
-        raise ValueError(f"not a summary: {error}") from error
+        raise ValueError(f"invalid summary: {error}") from error
 
 
 def _parse_rows(cls, body, key):
-    # Fields that a newer process adds must not stop an older one.
+    # Unknown fields, as written by newer processes, are ignored.
     try:
         rows = json.loads(body)[key]
         return [
@@ -62,14 +63,14 @@
             for row in rows
         ]
     except (KeyError, TypeError) as error:
-        raise ValueError(f"not a list of {key}: {error}") from error
+        raise ValueError(f"invalid list of {key}: {error}") from error
 
 
 def list_targets(availability_zone, vms, members, leaving_vms, drained_vms):
-    """Return ``{zone: (target, ...)}`` of the VMs that may be named.
+    """Return ``{zone: (target, ...)}`` of the VMs for callers.
 
-    ``availability_zone`` is one's own, whose ``members`` are known better
-    than the platform's list knows them.
+    ``availability_zone`` is the own zone. Its ``members`` are more recent
+    than the platform's list and replace it there.
     """
     excluded = {vm.vm for vm in vms if vm.state != STATE_LIVE}
     excluded |= leaving_vms | drained_vms
@@ -91,7 +92,7 @@
 
 def _find_serving(members):
     alive = [member for member in members if member.alive and not member.leaving]
-    # Right after a start no entry process may have been heard of: naming
-    # the VMs then is better than refusing everyone.
+    # Right after a start no entry process may be known yet. Listing the VMs
+    # without one is then better than refusing all callers.
     with_entry = [member for member in alive if member.entry_incarnation]
     return with_entry or alive
--- a/godwitlanding/daemons/forward.py
+++ b/godwitlanding/daemons/forward.py
@@ -1,8 +1,8 @@
-"""Requests that one entry process hands to another, and proof of that.
+"""Signs and verifies the headers of requests between entry processes.
 
-The headers of a forwarded request change how it is treated: spill is not
-passed on again and its ticket is held elsewhere. Were they believed from
-anyone, a caller could have non-idempotent work run without a ticket; so
+The headers of a forwarded request change its handling: a spilled request is
+not forwarded to a further zone, and its ticket is recorded elsewhere. A
+caller that forged them could run non-idempotent work without a ticket, so
 they are signed with the key that authenticates tickets.
 
 >>> forward = Forward(HOP, "za", "10.1.2.3", "r1")
@@ -21,9 +21,9 @@
 
 
 class Forward(NamedTuple):
-    """How a request came here; ``kind`` is ``HOP``, ``HOME`` or ``""``.
+    """How a request was forwarded; ``kind`` is ``HOP``, ``HOME`` or ``""``.
 
-    ``depth`` counts the processes that it passed.
+    ``depth`` counts the processes that have forwarded it.
     """
 
     kind: str
@@ -38,7 +38,7 @@
 
 
 def sign_forward(key, forward, method, target, idempotency_key=""):
-    """Return the headers that mark and prove a forwarded request."""
+    """Return the signed headers of a forwarded request."""
     return [
         (_HEADER_BY_KIND[forward.kind], str(forward.depth)),
         (names.FROM_ZONE, forward.from_zone),
@@ -49,9 +49,9 @@
 
 
 def read_forward(key, value_by_name, method, target):
-    """Return the ``Forward``; ``None`` where its signature is not ours.
+    """Return the ``Forward``, ``None`` if its signature is invalid.
 
-    ``value_by_name`` holds the headers by lower-case name.
+    ``value_by_name`` has the headers by lower-case name.
     """
     kind, depth = _read_kind(value_by_name)
     if not kind:
--- a/godwitlanding/daemons/holdings.py
+++ b/godwitlanding/daemons/holdings.py
@@ -1,13 +1,13 @@
-"""The permits that an entry process holds, and whose grants it may use.
+"""Tracks the permits that an entry process holds and rejects stale grants.
 
-Load pattern: an arbiter dies or is paused, another takes its place, and a
-grant of the former one arrives late. Without the checks here both grants
-would be used and an upstream would run more than its licensed slots, which
-shows as work that the upstream sheds or as a licence overrun.
+An arbiter may crash or be paused and be replaced while one of its grants is
+still in transit. Without these checks the process would use that grant as
+well, and an upstream would run more requests than its licensed slots, which
+shows as load that the upstream sheds or as a licence overrun.
 
 Pure: ``now`` is passed in, in seconds of the process's monotonic clock.
 
->>> book = PermitBook(start_s=0.5)
+>>> book = HeldPermits(start_s=0.5)
 >>> permit = book.accept(granted, 1.0, "127.0.1.1:7101", now=1.1).unwrap()
 >>> book.may_dispatch(permit, now=1.2)
 True
@@ -24,7 +24,7 @@
 
 
 class Permit(NamedTuple):
-    """A permit in use; ``until`` ends it, ``start_until`` its first use."""
+    """A permit: its first use is by ``start_until``, it ends at ``until``."""
 
     permit_id: int
     upstream: str
@@ -37,7 +37,7 @@
 
 
 class Spill(NamedTuple):
-    """Leave to hand the request to another zone, until ``until``."""
+    """Permission to send the request to another zone, until ``until``."""
 
     availability_zone: str
     until: float
@@ -47,7 +47,7 @@
 
 
 class HeldPermits:
-    """Open permits of one process, and the arbiter heeded by upstream."""
+    """Open permits of a process and the current arbiter of each upstream."""
 
     def __init__(self, start_s):
         self._start_s = start_s
@@ -58,11 +58,11 @@
         return len(self._permit_by_key)
 
     def answer(self, holdings, now):
-        """Heed only this arbiter on its upstreams; return what is open.
+        """Accept a new arbiter for its upstreams; return the open permits.
 
-        The arbiter counts these permits and grants the rest of the slots.
-        A grant of another arbiter that is still under way would come on
-        top, so from this answer on ``accept`` turns it away.
+        The arbiter counts these permits and grants the remaining slots. A
+        grant of another arbiter that is still in transit would exceed
+        them, so ``accept`` rejects it from now on.
         """
         for upstream in holdings.upstreams:
             self._arbiter_by_upstream[upstream] = holdings.arbiter
@@ -76,10 +76,10 @@
         )
 
     def accept(self, granted, asked_at, address, now):
-        """Return ``Ok(permit)``, or ``Err`` with why it must go back.
+        """Return ``Ok(permit)``, or ``Err`` with why it must be returned.
 
-        Validity counts from when this process asked, which is before the
-        arbiter granted, so the holder's view always ends first.
+        Validity counts from the time of the request, which is before the
+        grant, so a permit ends at its holder before it ends at the arbiter.
         """
         current_arbiter = self._arbiter_by_upstream.get(
             granted.upstream, granted.arbiter
@@ -102,21 +102,21 @@
         return Ok(permit)
 
     def may_dispatch(self, permit, now):
-        """Check again right before the first byte goes to the upstream.
+        """Check a permit again right before the request is sent.
 
-        The process may have been paused since it accepted the permit; the
-        arbiter may meanwhile have given the slot to another.
+        The process may have been paused since it accepted the permit, and
+        the arbiter may have granted the slot again since.
         """
         current_arbiter = self._arbiter_by_upstream.get(permit.upstream, permit.arbiter)
         is_open = (permit.arbiter, permit.permit_id) in self._permit_by_key
-        # One that is still open was reported in ``answer``, so the new
-        # arbiter counts it: whom the process heeds by now does not matter.
+        # An open permit was reported in ``answer`` and is counted by the
+        # new arbiter, so it stays valid after a change of arbiter.
         return (is_open or current_arbiter == permit.arbiter) and self._is_current(
             permit, now
         )
 
     def end(self, permit):
-        """Forget a permit that is given back."""
+        """Remove a permit that is returned."""
         self._permit_by_key.pop((permit.arbiter, permit.permit_id), None)
 
     def _is_current(self, permit, now):
--- a/godwitlanding/daemons/intake.py
+++ b/godwitlanding/daemons/intake.py
@@ -1,10 +1,9 @@
-"""The requests that wait for a slot, and those that are given up.
+"""Queues requests for a slot and rejects those that can't start in time.
 
-Load pattern: overload. Each arrival is judged at once: where it could not
-start in time it is refused or handed to another zone in the same moment,
-and where it pushes a less important request beyond its time, that one is.
-Without this a caller learns of a refusal only when its time is over, and
-what it does next comes too late.
+Under overload each request is checked on arrival. If it can't start in
+time, it is refused or sent to another zone at once. If it delays a less
+important request beyond its time, that request is. Without this a caller
+would get its refusal only at its deadline, too late to do anything else.
 """
 
 from godwitlanding.base.codes import Code, Refusal
@@ -14,18 +13,19 @@
 from godwitlanding.decisions.fairness import bound_cost
 from godwitlanding.decisions.queue import AskQueue
 
-# Slots assumed before any upstream has been lent.
+# Assumed number of slots until the first upstream is lent.
 DEFAULT_SLOTS = 3
-# Places that shrink at once, as when upstreams leave, are cut back by a few
-# of the last requests at each arrival; the others end by their own time.
+# When upstreams leave, many queued requests may no longer start in time. Each
+# arrival rejects at most this many from the end of the queue; the others
+# expire at their own time.
 MAX_DISPLACED = 4
-# Reluctant slots are used once waiting for others would take this share of
-# the time that the next request may wait.
+# Reluctant slots (see ``pool``) are used once waiting for eager ones would
+# take this share of the time that the next request may wait.
 PRESSED_SHARE = 0.25
 
 
 class Intake:
-    """Queue, waiting limits and spill of one arbiter."""
+    """Queue, wait limits and spill of one arbiter."""
 
     def __init__(self, pool, admission, long_jobs, spill):
         self.queue = AskQueue()
@@ -37,7 +37,7 @@
         self._last_slots = DEFAULT_SLOTS
 
     def add(self, ask, now):
-        """Queue a request; return its ``Waiting``."""
+        """Queue a request; return its ``QueuedRequest``."""
         expected_s = ask.expected_s or self._long_jobs.get_expected_s(ask.fingerprint)
         start_by = self._get_start_by(ask, now)
         queued_request = self.queue.add(
@@ -51,7 +51,10 @@
         return queued_request
 
     def take_first(self, long_count):
-        """Take out who is next, or ``None``; ``long_count`` long jobs run."""
+        """Remove and return the next request, or ``None``.
+
+        ``long_count`` is the number of long jobs that are running.
+        """
         slots = self._pool.usable_slots
         may_take_long = self._long_jobs.may_start(long_count, slots)
         queued_request = self.queue.get_first(may_take_long)
@@ -61,11 +64,11 @@
         return queued_request
 
     def should_use_reluctant(self, now):
-        """Tell whether to use reluctant slots rather than wait for others.
+        """Tell whether to use reluctant slots instead of waiting.
 
-        Where not, ``get_next_time`` tells when the next request has waited
-        too long for others, however short the queue: they may all be held
-        by long jobs.
+        Otherwise ``get_next_time`` includes the time at which the next
+        request has waited too long. This applies to a short queue as well,
+        since long jobs may occupy all eager slots.
         """
         first = self.queue.get_first()
         if first is None:
@@ -80,14 +83,14 @@
         return False
 
     def put_back(self, queued_request):
-        """Queue again, in its old place, what ``take_first`` took out."""
+        """Return a request from ``take_first`` to its place in the queue."""
         self.queue.put_back(queued_request)
         self._timers.set(
             ("ask", queued_request.ask.request_id), queued_request.start_by
         )
 
     def enforce_wait_limits(self, queued_request, excluded, now):
-        """Give up the newcomer or those it displaces, where all are late."""
+        """Reject the new request, or those that it delays too much."""
         if self._pool.usable_slots == 0:
             is_hopeless = not self._pool.may_recover()
         else:
@@ -102,7 +105,7 @@
         return self._displace(queued_request, now)
 
     def expire_requests(self, now):
-        """Give up those whose time to start is over."""
+        """Reject requests that have not started in time."""
         self._last_slots = self._pool.usable_slots or self._last_slots
         code = Code.DEADLINE_UNREACHABLE
         if self._pool.usable_slots == 0:
@@ -119,23 +122,23 @@
         return decisions
 
     def withdraw(self, request_id):
-        """Forget a request whose caller has gone."""
+        """Remove a request whose caller has disconnected."""
         queued_request = self.queue.remove(request_id)
         if queued_request:
             self._timers.cancel(("ask", request_id))
             self.queue.note_refused(queued_request)
 
     def end_spill(self, request_id):
-        """The request that was passed on has ended."""
+        """Record that a request sent to another zone has ended."""
         self._timers.cancel(("spill", request_id))
         self._spill.end(request_id)
 
     def get_next_time(self):
-        """Return when ``end_waits`` is due, or ``None``."""
+        """Return when ``expire_requests`` is due, or ``None``."""
         return self._timers.get_next_time()
 
     def estimate_retry_after_s(self, now):
-        """Return in how many seconds a refused caller should come back."""
+        """Return after how many seconds a refused caller should retry."""
         queued = len(self.queue)
         return self._admission.get_retry_after_s(now, queued, self._last_slots)
 
--- a/godwitlanding/daemons/journal.py
+++ b/godwitlanding/daemons/journal.py
@@ -1,14 +1,14 @@
-"""The journal of one entry process: which tickets it may run, and did.
+"""Records which tickets an entry process may run and their outcomes.
 
-A home writes a ticket's claim into its journal, one object of the platform
-changed by conditional update only, before it dispatches the work. When the
-home is gone another process closes the journal by the same means. Whatever
-fails, and however late a write takes effect, the claims that the home may
-dispatch are exactly those which its closed journal holds: a claim that
-came too late for the journal is never dispatched, and one that made it is
-never run by anybody else. No clock has a part in this.
+The home of a ticket writes a claim into its journal before it dispatches
+the work. The journal is one object of the platform that only conditional
+updates change. When the home is gone, another process closes the journal
+by a conditional update too. Whatever fails, and however late a write takes
+effect, the home may dispatch only claims that its closed journal contains:
+a claim that is not in the closed journal is never dispatched, and one that
+is in it is never run by another process. This does not depend on clocks.
 
-Pure: the caller does the writes and tells how they ended.
+Pure: the caller makes the writes and reports their results.
 
 >>> journal = Journal("za1-entry-1")
 >>> claim = journal.press(ticket, fingerprint=7).unwrap()
@@ -37,18 +37,18 @@
 from godwitlanding.daemons.ticket import JOURNALED
 
 STILL_RUNNING_RETRY_S = 1.0
-# Rarely enough that making room costs nothing a press.
+# Freeing a quarter at a time keeps the cost for each claim negligible.
 TARGET_BYTES = MAX_JOURNAL_BYTES * 3 // 4
-# A full journal keeps outcomes for a shorter time, but for this long: a
-# caller that got no answer presses again within seconds.
+# A full journal drops outcomes early, but keeps them for at least this long:
+# a caller that gets no response retries within seconds.
 MIN_KEPT_S = 120
 
 
 class Claim:
-    """One press that may become a run; known by its identity.
+    """The right to run the work of a ticket; compared by identity.
 
-    ``is_recorded`` tells that the claim is in the platform (or needs not
-    be, for a memory-only ticket).
+    ``is_recorded`` is set once the claim is stored in the platform, and at
+    once for a memory-only ticket, which is not stored.
     """
 
     def __init__(self, ticket, fingerprint):
@@ -66,7 +66,7 @@
 
 
 class Write(NamedTuple):
-    """A conditional update to be made; ``number`` tells writes apart."""
+    """A conditional update to be made; ``number`` identifies it."""
 
     number: int
     expected_version: int
@@ -75,7 +75,7 @@
 
 
 class Journal:
-    """Claims and outcomes of one incarnation."""
+    """The claims and outcomes of one process incarnation."""
 
     def __init__(self, incarnation):
         self.incarnation = incarnation
@@ -90,10 +90,11 @@
         self._size = 0
 
     def press(self, ticket, fingerprint, former=()):
-        """Return ``Ok(claim)`` for new work, ``Ok(outcome)`` for done work.
+        """Claim a ticket or return the recorded outcome of its work.
 
-        ``former`` are the closed journals of the homes before this one.
-        ``Err(refusal)`` says why there is neither.
+        Returns ``Ok(claim)`` for new work, ``Ok(outcome)`` for finished
+        work, else ``Err(refusal)``. ``former`` has the closed journals of
+        the ticket's previous homes.
         """
         held = self._claim_by_nonce.get(ticket.nonce)
         if held:
@@ -114,33 +115,32 @@
         return Ok(self._add(ticket, fingerprint))
 
     def holds(self, ticket):
-        """Tell whether there is a record of the ticket."""
+        """Tell whether the journal has a record of the ticket."""
         return ticket.nonce in self._claim_by_nonce
 
     def withdraw(self, claim):
-        """Forget a claim that was certainly not run.
+        """Remove a claim whose work was certainly not run.
 
-        Its write may still take effect; then the closed journal holds a
-        claim that nobody runs, which is safe.
+        Its write may still take effect. The closed journal then contains a
+        claim that no process runs, which is safe.
         """
         claim.is_void = True
         if self._claim_by_nonce.get(claim.ticket.nonce) is claim:
             self._remove(claim)
 
     def finish(self, claim, outcome):
-        """Record the outcome; ``None`` where it is not known."""
+        """Record the outcome of a claim, ``None`` if it is unknown."""
         state = UNKNOWN if outcome is None else DONE
         claim.entry = claim.entry._replace(state=state, outcome=outcome)
         self._set_text(claim, claim.entry)
         claim.has_body = bool(outcome and outcome.body)
 
     def forget(self, issued_s):
-        """Drop ended work whose ticket was issued at ``issued_s`` or before.
+        """Drop records of tickets issued at ``issued_s`` or before.
 
-        The mark goes into the journal with the same write as the loss of
-        the records, so a ticket without record is run only if it is newer
-        than every record that was ever dropped. Work under way holds the
-        mark back.
+        One write stores both the cut-off time and the removal. A ticket
+        without a record is therefore run only if it is newer than every
+        record ever dropped. Running work limits the cut-off time.
         """
         open_s = [
             claim.entry.issued_s
@@ -156,9 +156,9 @@
                 self._remove(claim)
 
     def drop_bodies(self, issued_s):
-        """Write no bodies of answers to tickets of ``issued_s`` or before.
+        """Drop response bodies of tickets issued at ``issued_s`` or before.
 
-        For room in the journal, each write of which carries it whole.
+        This limits the journal's size, as each write contains all of it.
         """
         for claim in self._claim_by_nonce.values():
             if claim.entry.issued_s <= issued_s:
@@ -166,16 +166,19 @@
 
     @property
     def has_waiting_claims(self):
-        """Tell whether a claim waits for a write."""
+        """Tell whether any claim waits to be written."""
         return bool(self._waiting)
 
     @property
     def has_unresolved_writes(self):
-        """Tell whether a write's answer was lost: read back, then settle."""
+        """Tell whether the result of a write is unknown.
+
+        The caller then reads the journal back and calls ``reconcile``.
+        """
         return bool(self._write_by_number)
 
     def begin_write(self):
-        """Return the ``Write`` that brings the platform up to date."""
+        """Return the ``Write`` that stores the current records."""
         claims = tuple(
             claim
             for claim in self._claim_by_nonce.values()
@@ -196,10 +199,9 @@
         return write
 
     def end_write(self, write, version):
-        """The write took effect; return the claims that it recorded."""
+        """Record that a write took effect; return the claims it stored."""
         self._version = version
-        # All other writes were made under an older version: none of them
-        # can take effect any more.
+        # All other writes expect an older version and can't take effect.
         self._write_by_number.clear()
         recorded = [claim for claim in write.claims if claim in self._waiting]
         for claim in recorded:
@@ -208,18 +210,18 @@
         return recorded
 
     def fail_write(self, write):
-        """The write was turned away and can never take effect."""
+        """Record that a write was rejected and can't take effect later."""
         self._write_by_number.pop(write.number, None)
         self.is_dirty = True
 
     def reconcile(self, stored):
-        """Learn from reading back what became of writes without an answer.
+        """Resolve writes without a response; return the claims stored.
 
-        ``stored`` is the platform's object, ``None`` for none. Where it is
-        as old as before, a write may still take effect later; the next one
-        is made under the same version, so only one of them can. A journal
-        that was there and is not has gone with a platform that was restored
-        from an older copy, and is written anew.
+        ``stored`` is the platform's object, ``None`` if there is none. If
+        its version has not changed, a write may still take effect later.
+        The next write expects the same version, so only one of them can.
+        A journal that no longer exists was lost when the platform was
+        restored from an older copy, and is written again.
         """
         if stored is None and self._version:
             self._version = 0
@@ -241,14 +243,14 @@
         return self.end_write(write, stored.version)
 
     def void_waiting(self):
-        """Give up the claims that wait for a write; return them."""
+        """Withdraw the claims that wait to be written; return them."""
         waiting = list(self._waiting)
         for claim in waiting:
             self.withdraw(claim)
         return waiting
 
     def get_status(self):
-        """Return counts for operators."""
+        """Return record count, size and closing process for operators."""
         return {
             "records": len(self._claim_by_nonce),
             "bytes": self._size,
@@ -256,10 +258,10 @@
         }
 
     def _free_space(self, now_s):
-        """Drop the oldest bodies, then the oldest records, for some room.
+        """Drop the oldest bodies, then the oldest records.
 
-        Work that comes faster than its records may be forgotten would
-        else be refused for minutes while slots stand idle.
+        Otherwise new work that arrives faster than records expire would be
+        refused for minutes while slots are idle.
         """
         for claim in self._claim_by_nonce.values():
             if self._size <= TARGET_BYTES:
@@ -269,7 +271,7 @@
         self.forget(min(cutoff_s, now_s - MIN_KEPT_S))
 
     def _find_cutoff_s(self, excess_bytes):
-        """Return the second up to which records hold ``excess_bytes``."""
+        """Return the issue time up to which records have ``excess_bytes``."""
         claims = sorted(self._claim_by_nonce.values(), key=_get_issued_s)
         for claim in claims:
             excess_bytes -= len(claim.text)
@@ -306,11 +308,11 @@
 
 
 def close_journal(stored, incarnation, closer):
-    """Return the closed text of a journal and the bytes to write.
+    """Return the closed journal and the bytes to write.
 
-    ``stored`` is the platform's object, ``None`` where the home never
-    wrote; ``closer`` becomes the one new home. The bytes are ``None``
-    where another has closed it before.
+    ``stored`` is the platform's object, ``None`` if the home has written
+    none. ``closer`` becomes the only new home. The bytes are ``None`` if the
+    journal is already closed.
     """
     if stored is None:
         value = format_journal(incarnation, 0, closer, 0, ())
--- a/godwitlanding/daemons/journalformat.py
+++ b/godwitlanding/daemons/journalformat.py
@@ -1,7 +1,7 @@
-"""The form in which a journal stands in the platform.
+"""Encodes and decodes journals as they are stored in the platform.
 
-JSON, put together from one text for each record: a journal is written
-several times a second while only a few of its records change.
+The JSON is joined from one encoded text for each record, because a journal
+is written several times a second while only few of its records change.
 """
 
 import base64
@@ -15,13 +15,13 @@
 
 # The platform takes values up to 1 MB.
 MAX_JOURNAL_BYTES = 900_000
-# Confirmations of a payment or booking are a few hundred bytes. At 5 a
-# second and home, bodies kept for 60 s take 600 KB at the very most.
+# Confirmations of a payment or booking have a few hundred bytes. At 5 a
+# second for each home, bodies kept for 60 s take at most 600 KB.
 RECORDED_BODY_BYTES = 2048
 
 
 class Outcome(NamedTuple):
-    """An answer as recorded; ``body`` is ``None`` where it is not kept."""
+    """A recorded response; ``body`` is ``None`` if it was not kept."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -29,7 +29,7 @@
 
 
 class Entry(NamedTuple):
-    """What a journal says of one ticket."""
+    """The journal's record of one ticket."""
 
     fingerprint: int
     issued_s: int
@@ -38,14 +38,14 @@
 
 
 class Closer(NamedTuple):
-    """The process that closed a journal: the one new home."""
+    """The process that closed a journal and is the only new home."""
 
     vm: str
     incarnation: str
 
 
 class StoredJournal(NamedTuple):
-    """A journal as read from the platform."""
+    """A journal decoded from the platform's object."""
 
     incarnation: str
     number: int
@@ -55,7 +55,7 @@
 
 
 def format_entry(nonce, entry):
-    """Return an entry as a member of a JSON object."""
+    """Return an entry encoded as a member of a JSON object."""
     row = [format(entry.fingerprint, "x"), entry.issued_s, entry.state]
     if entry.outcome:
         row += _format_outcome(entry.outcome)
@@ -63,7 +63,7 @@
 
 
 def format_journal(incarnation, number, closed_by, forgotten_s, entry_texts):
-    """Return the bytes of a journal; ``entry_texts`` by ``format_entry``."""
+    """Return an encoded journal; ``entry_texts`` are from ``format_entry``."""
     head = {
         "format": FORMAT,
         "incarnation": incarnation,
@@ -76,11 +76,11 @@
 
 
 def parse_journal(value):
-    """Return the ``JournalText`` in bytes; ``ValueError`` if it is none."""
+    """Return the decoded ``StoredJournal``; raises ``ValueError``."""
     try:
         text = json.loads(value)
         if text["format"] != FORMAT:
-            raise ValueError(f"journal of format {text['format']}")
+            raise ValueError(f"unknown journal format {text['format']}")
         closed_by = text["closed_by"]
         return StoredJournal(
             text["incarnation"],
@@ -90,7 +90,7 @@
             {nonce: _parse_entry(row) for nonce, row in text["entries"].items()},
         )
     except (KeyError, TypeError, IndexError, AttributeError) as error:
-        raise ValueError(f"not a journal: {error!r}") from error
+        raise ValueError(f"invalid journal: {error!r}") from error
 
 
 def _format_outcome(outcome):
@@ -105,7 +105,7 @@
 
 
 def parse_outcome(row, decode=base64.b64decode):
-    """Return the ``Outcome`` in a JSON list, ``None`` for an empty one."""
+    """Return the ``Outcome`` in a JSON list, ``None`` if it is empty."""
     if not row:
         return None
     status, headers, body = row
--- a/godwitlanding/daemons/keyrecord.py
+++ b/godwitlanding/daemons/keyrecord.py
@@ -1,7 +1,7 @@
-"""The record of a caller's own Idempotency-Key in the platform.
+"""Encodes the platform's record of an Idempotency-Key made by a caller.
 
-A key that the caller made up names no home, so it is claimed by creating
-one object: of all processes that try, the platform lets one succeed. Pure.
+Such a key, unlike a ticket, names no home. A process claims it by creating
+an object in the platform, which lets only one creation succeed. Pure.
 """
 
 import hashlib
@@ -14,7 +14,7 @@
 
 
 class KeyRecord(NamedTuple):
-    """A claimed key; ``claim_id`` tells the claims of one process apart."""
+    """A claimed key; ``claim_id`` is unique among the claims of a process."""
 
     claim_id: str
     vm: str
@@ -25,12 +25,15 @@
 
 
 def make_name(service, key):
-    """Return the object's name; the key itself may hold a person's data."""
+    """Return the object name.
+
+    It is a hash, as the key itself may contain personal data.
+    """
     return hashlib.sha256(f"{service}\0{key}".encode()).hexdigest()[:40]
 
 
 def format_record(record):
-    """Return the bytes of a record."""
+    """Return the encoded record."""
     row = record._asdict()
     row["fingerprint"] = format(record.fingerprint, "x")
     row["outcome"] = []
@@ -42,11 +45,11 @@
 
 
 def parse_record(value):
-    """Return the ``KeyRecord`` in bytes; ``ValueError`` if it is none."""
+    """Return the decoded ``KeyRecord``; raises ``ValueError``."""
     try:
         row = json.loads(value)
         row["fingerprint"] = int(row["fingerprint"], 16)
         row["outcome"] = parse_outcome(row["outcome"], bytes.fromhex)
         return KeyRecord(**row)
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"not a claim: {error!r}") from error
+        raise ValueError(f"invalid key record: {error!r}") from error
--- a/godwitlanding/daemons/loan.py
+++ b/godwitlanding/daemons/loan.py
@@ -1,31 +1,31 @@
-"""Loans of upstreams: the owner's side, which says who may use them.
-
-Answers the pattern of a full service whose slots are spread over many
-upstreams: one arbiter has to grant all of them for the pooled queue to
-work, and must lose them by itself when it dies, is paused or is cut off.
-Without loans either each member would keep a share (and slots would idle
-beside a queue) or two arbiters would grant the same slot (and upstreams
-would be pushed over). ``loan_s`` of five heartbeats passes over two lost
-renewals; it is also the time for which slots idle after an arbiter dies.
-
-The owner counts a loan from its answer, the arbiter from its question, so
-the owner's view always ends later. Pure: ``now`` is seconds of one
-monotonic clock, never shared between the two sides.
+"""Lends an owner's upstreams to the arbiters that grant their slots.
+
+For the pooled queue of a service to work, one arbiter has to grant the slots
+of all upstreams, and its right to do so must expire when it crashes, is
+paused or is partitioned. Without loans, either each member would keep a
+share (slots would be idle while requests are queued) or two arbiters would
+grant the same slot (upstreams would be overloaded). ``loan_s`` is five
+heartbeats, which tolerates two lost renewals. It is also the time for which
+slots are idle after an arbiter crashes.
+
+The owner counts a loan from its response and the arbiter from its request,
+so a loan ends later at the owner. Pure: ``now`` is seconds of one monotonic
+clock, which the two sides do not share.
 """
 
 from typing import NamedTuple
 
 from godwitlanding.base.messages import FORMER_NONE, Holder, Lent
 
-# Clocks of two machines run at slightly different rates.
+# The clocks of two machines run at slightly different rates.
 CLOCK_RATE_MARGIN = 1.01
 
 
 class Handover(NamedTuple):
-    """What the former owner told the new one about an upstream.
+    """What the former owner of an upstream passes to the new one.
 
-    ``turn`` grows with each change of the owner, so that one who had the
-    upstream before, and saw nothing of the time between, notices.
+    ``turn`` increases with each change of the owner. A previous owner that
+    gets the upstream back thereby notices a change that it missed.
     """
 
     to_incarnation: str
@@ -35,7 +35,7 @@
 
 
 class _Owned:
-    """An upstream of this owner."""
+    """The loan state of an upstream of this owner."""
 
     def __init__(self, handover, former, may_lend_at):
         self.handover = handover
@@ -48,7 +48,7 @@
 
 
 class Lender:
-    """Lends the upstreams of one owner, each to one arbiter at a time."""
+    """Lends the upstreams of an owner, each to one arbiter at a time."""
 
     def __init__(self, incarnation, loan_s, started_at):
         self._incarnation = incarnation
@@ -59,10 +59,10 @@
         self._number_by_arbiter = {}
 
     def set_owned(self, handover_by_upstream, now):
-        """Take the roster's word on what this owner has.
+        """Set the upstreams that this owner has in the roster.
 
-        A handover counts only for the incarnation it names: one that has
-        started again knows nothing of what its predecessor lent since, so
+        A handover is valid only for the incarnation that it names. A
+        restarted process does not know what its predecessor has lent, so
         it lends nothing until the longest of those loans has ended.
         """
         for upstream in set(self._owned_by_upstream) - set(handover_by_upstream):
@@ -77,7 +77,10 @@
         return frozenset(self._owned_by_upstream)
 
     def lend(self, loan, upstreams, longest_permit_s, now):
-        """Answer a ``Loan`` for the owner's ``upstreams`` of its service."""
+        """Return the ``Lent`` response to a ``Loan`` request.
+
+        ``upstreams`` are those of the request's service.
+        """
         known = self._list_holders(now, longest_permit_s)
         if self._is_outdated(loan):
             return Lent((), 0.0)
@@ -102,7 +105,7 @@
         return Lent(tuple(lent), self._loan_s, tuple(former), known)
 
     def give_back(self, message, upstreams):
-        """End the loans of ``upstreams`` to an arbiter that uses none."""
+        """End the loans of ``upstreams`` to the arbiter of the message."""
         if self._is_outdated(message):
             return
         for upstream in upstreams:
@@ -111,30 +114,30 @@
                 owned.lent_until = 0.0
 
     def set_releasing(self, upstream, releasing):
-        """Lend an upstream no more, or again."""
+        """Set whether an upstream is being released and no longer lent."""
         if upstream in self._owned_by_upstream:
             self._owned_by_upstream[upstream].releasing = releasing
 
     def is_free(self, upstream, now):
-        """Tell whether no arbiter has the upstream on loan."""
+        """Tell whether no arbiter can have the upstream on loan."""
         owned = self._owned_by_upstream.get(upstream)
         if owned is None:
             return True
         return max(owned.lent_until, owned.may_lend_at) <= now
 
     def make_handover(self, upstream, to_incarnation, longest_permit_s, now):
-        """Return what the next owner has to know."""
+        """Return the ``Handover`` of an upstream for the next owner."""
         owned = self._owned_by_upstream[upstream]
         former = self._get_last_borrower(owned, longest_permit_s, now)
-        # A borrower that may never have got the loan has not asked about
-        # the permits of the one before: nobody knows them.
+        # A borrower that may not have received the loan has not collected
+        # the open permits of the former one, so they are unknown.
         if owned.borrower and not owned.is_confirmed:
             former = ""
         holders = self._list_holders(now, longest_permit_s)
         return Handover(to_incarnation, former, holders)
 
     def get_status(self, now):
-        """Return who has which upstream on loan, for operators."""
+        """Return the loan of each upstream for operators."""
         return {
             upstream: {
                 "arbiter": owned.borrower if owned.lent_until > now else "",
@@ -153,8 +156,8 @@
         return _Owned(handover, handover.former_arbiter, now)
 
     def _is_outdated(self, message):
-        # A message of a connection that broke may be read after those of
-        # the next one. What it lists as not in use may be in use by now.
+        # A message of a broken connection may be read after messages of the
+        # next one. Upstreams that it lists as unused may be in use by now.
         key = (message.arbiter, message.service)
         if message.number <= self._number_by_arbiter.get(key, 0):
             return True
@@ -167,8 +170,8 @@
         if upstream in loan.holding:
             owned.is_confirmed = True
         else:
-            # The arbiter asks one question at a time and drops late
-            # answers: what it does not list it can no longer come to hold.
+            # The arbiter has one open request at a time and drops late
+            # responses, so it can't start to use what it does not list.
             owned.lent_until = 0.0
 
     def _may_lend(self, owned, arbiter, now):
@@ -177,7 +180,10 @@
         return owned.borrower == arbiter or owned.lent_until <= now
 
     def _get_former(self, owned):
-        """Return whom the borrower has to think of: itself if it had it."""
+        """Return the arbiter whose permits may be open, for the borrower.
+
+        It is the borrower itself once it has confirmed the loan.
+        """
         return owned.borrower if owned.is_confirmed else owned.former
 
     def _get_last_borrower(self, owned, longest_permit_s, now):
--- a/godwitlanding/daemons/membership.py
+++ b/godwitlanding/daemons/membership.py
@@ -1,12 +1,12 @@
-"""Who is in the availability zone: the platform's list joined with heartbeats.
+"""Tracks the members of a zone by the platform's VM list and heartbeats.
 
-Answers the load pattern of a restart or a crash under load: within
-``member_timeout_s`` the work of a silent member has to go elsewhere, while
-the platform's list still shows it for many seconds, and a new VM has to be
-used before the list shows it. Without the join, requests would be sent to
-dead VMs for as long as the list lags, and a cut from the platform would
-freeze the zone. The timeout of four heartbeats is the least that passes
-over two lost ones and a garbage collection.
+When a VM restarts or crashes under load, the work of the silent member has
+to move within ``member_timeout_s``, while the platform's list still has it
+for many seconds. A new VM has to be used before the list has it. With the
+list alone, requests would go to dead VMs while the list lags, and the
+members would not change while the platform is unreachable. The timeout of
+four heartbeats is the shortest that tolerates two lost ones and a garbage
+collection.
 
 Pure: ``now`` is seconds of one monotonic clock.
 """
@@ -17,14 +17,14 @@
 from godwitlanding.base.storetypes import VmList
 
 STATE_LEAVING = "leaving"
-# The arbiter and two that are tried after it; more only cost bytes.
+# The arbiter and two alternatives; more would only enlarge messages.
 ARBITERS_PER_SERVICE = 3
-# Names of VMs that are gone would gather over days of replacements.
+# Without expiry, names of replaced VMs would accumulate over days.
 FORGET_AFTER_S = 600.0
 
 
 class Member(NamedTuple):
-    """A VM of the zone as this process sees it."""
+    """The state of a VM of the zone as known to this process."""
 
     vm: str
     address: str
@@ -42,7 +42,7 @@
 
 
 class Membership:
-    """Joins the two sources; the process itself is always a live member."""
+    """Merges both sources; the own VM is always an alive member."""
 
     def __init__(self, vm, address, availability_zone, timeout_s, started_at):
         self.vm = vm
@@ -55,18 +55,18 @@
         self._last_heartbeat_by_vm = {}
 
     def update_vm_list(self, vm_list, now):
-        """Take a list of VMs; an older one than the last is passed over."""
+        """Apply a VM list; return ``False`` if it is older than the last."""
         if vm_list.version < self.vm_list.version:
             return False
         self.vm_list = vm_list
         listed = {entry.vm for entry in vm_list.vms}
-        for vm, heard in list(self._last_heartbeat_by_vm.items()):
-            if vm not in listed and now - heard.at > FORGET_AFTER_S:
+        for vm, last in list(self._last_heartbeat_by_vm.items()):
+            if vm not in listed and now - last.at > FORGET_AFTER_S:
                 del self._last_heartbeat_by_vm[vm]
         return True
 
     def record_heartbeat(self, heartbeat, now):
-        """Note a member's sign of life; ``True`` if it is news to the zone."""
+        """Record a heartbeat; return whether the member has changed."""
         former = self._last_heartbeat_by_vm.get(heartbeat.vm)
         self._last_heartbeat_by_vm[heartbeat.vm] = _LastHeartbeat(now, heartbeat)
         if former is None or now - former.at > self._timeout_s:
@@ -74,7 +74,7 @@
         return _identity(former.heartbeat) != _identity(heartbeat)
 
     def get_members(self, now, own_heartbeat):
-        """Return every member, listed or heard, by its VM's name."""
+        """Return all members by VM name, listed or known by heartbeat."""
         member_by_vm = {}
         for entry in self.vm_list.vms:
             if entry.availability_zone == self._availability_zone:
@@ -82,10 +82,10 @@
                 member_by_vm[entry.vm] = Member(
                     entry.vm, entry.address, "", "", False, leaving, False, True
                 )
-        for vm, heard in self._last_heartbeat_by_vm.items():
-            alive = now - heard.at <= self._timeout_s
+        for vm, last in self._last_heartbeat_by_vm.items():
+            alive = now - last.at <= self._timeout_s
             if alive or vm in member_by_vm:
-                member_by_vm[vm] = _merge(member_by_vm.get(vm), heard, alive)
+                member_by_vm[vm] = _merge(member_by_vm.get(vm), last, alive)
         own = _merge(
             member_by_vm.get(self.vm), _LastHeartbeat(now, own_heartbeat), True
         )
@@ -93,7 +93,10 @@
         return member_by_vm
 
     def get_lowest_version(self, kind, name, own_version, now):
-        """Return the lowest version that a member has, 0 if one is unheard."""
+        """Return the lowest version of an object among the members.
+
+        It is 0 if a listed member has sent no heartbeat.
+        """
         lowest = own_version
         vms = {
             entry.vm
@@ -102,23 +105,23 @@
         }
         vms |= {
             vm
-            for vm, heard in self._last_heartbeat_by_vm.items()
-            if now - heard.at <= self._timeout_s
+            for vm, last in self._last_heartbeat_by_vm.items()
+            if now - last.at <= self._timeout_s
         }
         for vm in vms - {self.vm}:
-            heard = self._last_heartbeat_by_vm.get(vm)
+            last = self._last_heartbeat_by_vm.get(vm)
             held = 0
-            for row in heard.heartbeat.versions if heard else ():
+            for row in last.heartbeat.versions if last else ():
                 if (row.kind, row.name) == (kind, name):
                     held = row.version
             lowest = min(lowest, held)
         return lowest
 
     def is_settled(self, now):
-        """Tell whether the others have had time to be heard.
+        """Tell whether the other members have had time to send heartbeats.
 
-        A process that has just started has heard nobody and would take
-        itself for the arbiter of everything.
+        Right after its start a process knows no other member and would
+        become the arbiter of every service.
         """
         if now - self._started_at >= self._timeout_s:
             return True
@@ -130,36 +133,36 @@
         return bool(listed) and listed <= set(self._last_heartbeat_by_vm) | {self.vm}
 
     def is_gone(self, vm, now):
-        """Tell whether the platform's list lacks ``vm`` and it is silent."""
+        """Tell whether ``vm`` is neither listed nor sending heartbeats."""
         if not self.vm_list.version or vm == self.vm:
             return False
         if any(entry.vm == vm for entry in self.vm_list.vms):
             return False
-        heard = self._last_heartbeat_by_vm.get(vm)
-        return heard is None or now - heard.at > self._timeout_s
+        last = self._last_heartbeat_by_vm.get(vm)
+        return last is None or now - last.at > self._timeout_s
 
 
 def get_active(member_by_vm):
-    """Return the VMs that may be given work: alive and not leaving."""
+    """Return the VMs that may get work: alive and not leaving."""
     return sorted(
         vm for vm, member in member_by_vm.items() if member.alive and not member.leaving
     )
 
 
 def get_serving(member_by_vm):
-    """Return the active VMs or, where there are none, all that are alive.
+    """Return the active VMs or, if there are none, all that are alive.
 
-    Where every VM of a zone is drained or stops, callers with an answer
-    that they have cached still come, and the end of the drain still has to
-    be heard of: without anybody to grant and to watch, the callers would be
-    refused, and the zone would stay drained for good.
+    If all VMs of a zone are drained or stopping, callers with a cached
+    steering response still arrive, and the zone still has to receive the
+    end of the drain. Without a VM that grants permits and watches the
+    platform, the callers would be refused and the zone would stay drained.
     """
     alive = sorted(vm for vm, member in member_by_vm.items() if member.alive)
     return get_active(member_by_vm) or alive
 
 
 def choose_arbiters(services, member_by_vm):
-    """Return the VMs to ask for permits, best first, by service."""
+    """Return the arbiter VM and its alternatives, in order, by service."""
     serving = get_serving(member_by_vm)
     return {
         service: rank(f"arbiter/{service}", serving)[:ARBITERS_PER_SERVICE]
@@ -168,10 +171,10 @@
 
 
 def choose_reachable(key, member_by_vm, count):
-    """Return ``count`` VMs for work with the platform, best first.
+    """Return ``count`` VMs for work with the platform, preferred first.
 
-    Members that reach the platform go first, so that one which is cut off
-    from it does not keep the zone from learning of a change.
+    Members that reach the platform come first, so that a disconnected one
+    does not keep changes from the zone.
     """
     ranked = rank(key, get_serving(member_by_vm))
     reachable = [vm for vm in ranked if member_by_vm[vm].platform_reachable]
@@ -187,8 +190,8 @@
     )
 
 
-def _merge(listed, heard, alive):
-    heartbeat = heard.heartbeat
+def _merge(listed, last, alive):
+    heartbeat = last.heartbeat
     return Member(
         vm=heartbeat.vm,
         address=heartbeat.address or (listed.address if listed else ""),
--- a/godwitlanding/daemons/permits.py
+++ b/godwitlanding/daemons/permits.py
@@ -1,10 +1,10 @@
-"""The open permits of an arbiter, and what is learnt when they end.
+"""Counts the open permits of an arbiter and evaluates their outcomes.
 
-A permit holds a slot until its holder releases it or, where the holder has
-died, until it ends by itself; so no message that is lost can keep a slot
-for longer than the request's deadline. Permits that a former arbiter
-granted are counted in the same book, and one whose loan has ended stays
-counted, since its request still runs on the upstream.
+A permit occupies a slot until its holder releases it or until it expires,
+so a lost message or a crashed holder can't block a slot beyond the
+request's deadline. Permits of former arbiters are counted as well. A permit
+stays counted after the loan of its upstream has ended, since its request
+still runs there.
 """
 
 from typing import NamedTuple
@@ -19,15 +19,15 @@
 )
 from godwitlanding.base.timers import Timers
 
-# The upstream may hear of a cancellation later than the permit ends; its
-# slot is not used again before. A one-way trip in the zone takes 1 ms and
-# a busy loop answers within tens.
+# A cancellation may reach the upstream after the permit has expired, and the
+# slot must not be reused before. A one-way trip in the zone takes 1 ms and a
+# busy event loop responds within tens of milliseconds.
 PERMIT_GRACE_S = 0.05
-# An upstream that refuses work answers faster than any other and would be
-# offered the whole queue; by then the health join has heard of it.
+# An upstream that refuses work responds faster than others and would be
+# offered the whole queue. After the pause the health check knows its state.
 SHED_PAUSE_S = 0.25
 LEAVING_PAUSE_S = 2.0
-# Outcomes after which the time held tells what a slot serves.
+# Outcomes whose permit duration measures the throughput of a slot.
 _WORK_TIME_OUTCOMES = frozenset({OUTCOME_OK, OUTCOME_TIMEOUT, OUTCOME_CANCELLED})
 
 
@@ -41,7 +41,7 @@
 
 
 class OpenPermits:
-    """Open permits by id."""
+    """The open permits of an arbiter by id."""
 
     def __init__(self, pool):
         self._pool = pool
@@ -58,11 +58,11 @@
         return self._permit_by_id.get(permit_id)
 
     def count_open(self, fingerprint):
-        """Return how many requests with the fingerprint are running."""
+        """Return the number of running requests with the fingerprint."""
         return self._open_by_fingerprint.get(fingerprint, 0)
 
     def open(self, permit_id, permit, until, now):
-        """Count a permit that ends by itself at ``until``."""
+        """Add a permit that expires at ``until``; known ids are ignored."""
         if permit_id in self._permit_by_id:
             return
         self._permit_by_id[permit_id] = permit
@@ -74,7 +74,7 @@
         self._pool.take(self._pool.get(permit.upstream_id), now)
 
     def close(self, permit_id, now):
-        """Free the permit's slot."""
+        """Remove a permit and free its slot."""
         permit = self._permit_by_id.pop(permit_id)
         self._timers.cancel(permit_id)
         self.long_count -= permit.is_long
@@ -86,17 +86,17 @@
         self._pool.give_back(self._pool.get(permit.upstream_id), now)
 
     def close_ended(self, now):
-        """Free the slots of permits that nobody released in time."""
+        """Free the slots of expired permits."""
         for permit_id in self._timers.pop_due(now):
             self.close(permit_id, now)
 
     def get_next_time(self):
-        """Return when the next permit ends by itself, or ``None``."""
+        """Return when the next permit expires, or ``None``."""
         return self._timers.get_next_time()
 
 
 class OutcomeRecorder:
-    """Passes the outcome of a permit to the modules that learn from it."""
+    """Passes the outcomes of permits to the modules that use them."""
 
     def __init__(self, pool, outliers, poison, admission, long_jobs):
         self._pool = pool
@@ -105,8 +105,8 @@
         self._admission = admission
         self._long_jobs = long_jobs
 
-    def note(self, permit, outcome, took_s, now):
-        """Learn from a permit that its holder has released."""
+    def record(self, permit, outcome, took_s, now):
+        """Record the outcome of a permit that its holder has released."""
         held_s = took_s if permit.granted_at is None else now - permit.granted_at
         took_s = took_s or held_s
         if outcome in _WORK_TIME_OUTCOMES and held_s > 0:
@@ -114,21 +114,21 @@
         usual_s = self._long_jobs.get_usual_s(permit.fingerprint)
         if outcome in (OUTCOME_OK, OUTCOME_TIMEOUT):
             self._long_jobs.note(permit.fingerprint, took_s)
-        self._note_poison(permit, outcome, now)
+        self._record_poison(permit, outcome, now)
         self._outliers.note(permit.upstream_id, outcome, took_s / usual_s, now)
         if outcome == OUTCOME_OK:
-            self._note_warmth(permit, took_s)
+            self._record_warmth(permit, took_s)
         self._update_upstream(permit.upstream_id, outcome, now)
 
-    def _note_poison(self, permit, outcome, now):
+    def _record_poison(self, permit, outcome, now):
         if outcome == OUTCOME_OK:
             self._poison.note_success(permit.fingerprint, now)
         if outcome == OUTCOME_CRASHED:
             self._poison.note_crash(permit.fingerprint, permit.upstream_id, now)
 
-    def _note_warmth(self, permit, took_s):
-        # Where all upstreams are cold the typical time has risen with them;
-        # compared with that, each would seem warm.
+    def _record_warmth(self, permit, took_s):
+        # When all upstreams are cold, the typical time rises as well, and
+        # each upstream would seem warm in comparison.
         usual_s = self._long_jobs.get_expected_s(permit.fingerprint)
         usual_s = usual_s or min(self._long_jobs.typical_s, self._long_jobs.work_s)
         self._pool.warmup.note_work(permit.upstream_id, took_s / usual_s)
--- a/godwitlanding/daemons/permitserver.py
+++ b/godwitlanding/daemons/permitserver.py
@@ -1,8 +1,8 @@
-"""One service's arbiter as its zone daemon runs it, without the network.
+"""Serves the permits of one service in a zone daemon, without the network.
 
-Joins the pure ``Arbiter`` with the loans that it works on, the requests
-that wait for an answer and the holders that may have permits. The service
-``arbitration`` gives it messages and time.
+Combines the ``Arbiter`` with its loans, the requests that wait for a
+response and the holders of open permits. The service ``arbitration`` passes
+messages and the time to it.
 """
 
 from typing import NamedTuple
@@ -11,8 +11,8 @@
 from godwitlanding.daemons.arbiter import Ask, Grant, Spill
 from godwitlanding.daemons.borrower import Borrower
 
-# Each incarnation of an arbiter numbers its permits in a range of its own,
-# so that one which it is told of cannot be taken for one that it granted.
+# Each incarnation of an arbiter uses a permit id range of its own, so that
+# it can tell reported permits of former arbiters from those it granted.
 PERMIT_ID_BITS = 32
 
 
@@ -22,14 +22,18 @@
 
 
 class PendingHolders(NamedTuple):
-    """Holders that have still to tell their permits on an upstream."""
+    """Holders that have not yet reported their permits on an upstream.
+
+    ``waiting`` is ``{None}`` where the holders are unknown; the block then
+    lasts until ``until``.
+    """
 
     waiting: set
     until: float
 
 
 class PermitServer:
-    """Answers requests for the permits of one service."""
+    """Responds to requests for permits of one service."""
 
     def __init__(self, incarnation, arbiter, first_permit_id):
         self.service = arbiter.service
@@ -49,11 +53,14 @@
         self._address_by_upstream = {}
 
     def set_addresses(self, address_by_upstream):
-        """Take the ``ip:port`` of each upstream of the service."""
+        """Set the ``ip:port`` of each upstream of the service."""
         self._address_by_upstream = address_by_upstream
 
     def acquire(self, key, holder, message, deadline_s, answer, now):
-        """Queue a request; ``answer(message)`` is called once."""
+        """Queue a request; calls ``answer(message)`` once with the response.
+
+        ``deadline_s`` and ``message.remaining_s`` both limit its time.
+        """
         remaining_s = min(message.remaining_s, deadline_s)
         self._answer_by_request[key] = answer
         self._arrived_by_request[key] = now
@@ -68,14 +75,14 @@
             fingerprint=message.fingerprint,
             excluded_upstreams=frozenset(message.excluded_upstreams),
             attempt=message.attempt,
-            # A request is passed on once: a second zone that passed it on
-            # again would send it round without end.
+            # A request changes zone only once, or zones could forward it
+            # to each other in an endless loop.
             may_pass_on=message.may_pass_on and not message.arrived_from_zone,
         )
         self.answer_decisions(self.arbiter.acquire(ask, now), now)
 
     def withdraw(self, key, now):
-        """Forget a request, or end its spill."""
+        """Remove a request, or end its spill."""
         if key in self._spilled:
             self._spilled.discard(key)
             self.answer_decisions(self.arbiter.end_spill(key, now), now)
@@ -84,7 +91,7 @@
         self.answer_decisions(self.arbiter.withdraw(key, now), now)
 
     def release(self, message, now):
-        """Take a permit back."""
+        """Free the slot of a returned permit."""
         self._open_by_permit.pop(message.permit_id, None)
         if message.outcome not in (OUTCOME_UNUSED,):
             self.counts["served"] += 1
@@ -96,13 +103,13 @@
         )
 
     def answer_decisions(self, decisions, now):
-        """Answer the requests that were decided."""
+        """Send the responses to decided requests."""
         for decision in decisions:
             key = decision.request_id
             answer = self._answer_by_request.get(key)
             outcome = decision.outcome
             if isinstance(outcome, Grant) and answer is None:
-                # Its caller left in the same moment: the slot stays free.
+                # Withdrawn before the grant: the slot is freed at once.
                 more = self.arbiter.release(outcome.permit_id, OUTCOME_UNUSED, 0.0, now)
                 self.answer_decisions(more, now)
             elif answer:
@@ -111,37 +118,40 @@
                 answer(message)
 
     def tick(self, now):
-        """Let time pass."""
+        """Run what is due at ``now``."""
         self._end_blocks(now)
         self.answer_decisions(self.arbiter.tick(now), now)
 
-    def add_borrowed(self, gain, slots, now):
-        """Take an upstream on loan; return the holders to ask about it."""
+    def add_borrowed(self, borrowed, slots, now):
+        """Add a lent upstream; return the holders to ask for open permits."""
         ask = ()
-        if gain.blocked_s:
-            until = now + gain.blocked_s
-            # A shorter block must not end one that still runs.
-            former = self.pending_by_upstream.get(gain.upstream)
+        if borrowed.blocked_s:
+            until = now + borrowed.blocked_s
+            # A shorter block must not end a current one early.
+            former = self.pending_by_upstream.get(borrowed.upstream)
             until = max(until, former.until if former else 0.0)
-            self.arbiter.block(gain.upstream, until)
-            known = gain.ask_holders is not None and former is None
-            ask = gain.ask_holders if known else ()
+            self.arbiter.block(borrowed.upstream, until)
+            known = borrowed.ask_holders is not None and former is None
+            ask = borrowed.ask_holders if known else ()
             waiting = set(ask) if known else {None}
-            self.pending_by_upstream[gain.upstream] = PendingHolders(waiting, until)
+            self.pending_by_upstream[borrowed.upstream] = PendingHolders(waiting, until)
         self.answer_decisions(
-            self.arbiter.set_loan(gain.upstream, slots, gain.until, now), now
+            self.arbiter.set_loan(borrowed.upstream, slots, borrowed.until, now), now
         )
-        if gain.blocked_s and known and not ask:
-            self._unblock(gain.upstream, now)
+        if borrowed.blocked_s and known and not ask:
+            self._unblock(borrowed.upstream, now)
         return ask
 
     def stop_granting(self, upstreams):
-        """Grant nothing more on upstreams that are no longer lent."""
+        """Stop granting on upstreams that are no longer lent."""
         for upstream in upstreams:
             self.arbiter.end_loan(upstream)
 
     def add_held_permits(self, holder, upstreams, held, now):
-        """Take a holder's open permits; unblock what all have answered."""
+        """Add a holder's open permits.
+
+        Unblocks the upstreams on which all holders have reported.
+        """
         for permit in held.permits:
             if not self._is_own(permit.permit_id):
                 until = now + permit.valid_s
@@ -155,7 +165,7 @@
                     self._unblock(upstream, now)
 
     def get_pending_upstreams(self):
-        """Return the upstreams to ask about, by holder."""
+        """Return the upstreams with pending reports, by holder."""
         upstreams_by_holder = {}
         for upstream, pending in self.pending_by_upstream.items():
             for holder in pending.waiting - {None}:
@@ -163,21 +173,21 @@
         return upstreams_by_holder
 
     def list_holders(self, now):
-        """Return the holders whose permits are open."""
+        """Return the holders that have open permits."""
         for permit_id, open_permit in list(self._open_by_permit.items()):
             if open_permit.until <= now:
                 del self._open_by_permit[permit_id]
         return {open_permit.holder for open_permit in self._open_by_permit.values()}
 
     def close(self, refusal):
-        """Be the arbiter no more: answer everyone that waits."""
+        """Stop being the arbiter; send ``refusal`` to all waiting requests."""
         self.active = False
         for key, answer in list(self._answer_by_request.items()):
             self._forget(key)
             answer(refusal)
 
     def get_warm_share(self, now):
-        """Return how warm the upstreams on loan are, from 0 to 1."""
+        """Return the mean warmth of the upstreams on loan, from 0 to 1."""
         upstreams = self.borrower.get_upstreams(now)
         if not upstreams:
             return 0.0
@@ -185,7 +195,7 @@
         return round(sum(shares) / len(shares), 3)
 
     def get_status(self, now):
-        """Return queue, permits and loans for operators."""
+        """Return the state of queue, permits and loans for operators."""
         return {
             **self.arbiter.get_status(now),
             "active": self.active,
--- a/godwitlanding/daemons/pool.py
+++ b/godwitlanding/daemons/pool.py
@@ -1,19 +1,20 @@
-"""The lent upstreams of an arbiter, and which of them takes the next request.
+"""Chooses the upstream for the next request among those lent to an arbiter.
 
-Load pattern: many entry VMs, a few slots on each upstream. Where each VM
-picks by load reports that lag, several pick the same upstream at once and
-push it over its slots while others idle. Here the one holder of all slots
-counts them itself.
+There are many entry VMs and few slots on each upstream. If each VM chose by
+delayed load reports, several would choose the same upstream at once and
+exceed its slots while others are idle. The arbiter instead counts the slots
+in use itself.
 
 The next request goes to the upstream with the smallest share of its slots
-in use; among equal ones to the least recently used, so that work spreads
-and an idle upstream is noticed when it fails.
+in use, and among equal ones to the least recently used. This spreads the
+work and detects the failure of an idle upstream.
 
-Some slots are *reluctant*: those of upstreams marked slow, those beyond
-what a cold upstream should run, and all but one of an upstream whose
-slowness is being measured anew. They come after all others, and only once
-waiting for another would take long (``intake``): with ten times the work
-time on a slow slot, it is quicker to wait for a quick one.
+A slot is *eager* if it is used as soon as it is free. Some slots are
+*reluctant*: those of upstreams marked slow, those beyond what a cold
+upstream should run, and all but one of an upstream on probation, whose
+speed is being measured again. They are used after all others, and only if
+the wait for an eager slot would be long (see ``intake``): if work takes ten
+times as long on a slow slot, waiting for a fast one is quicker.
 
 Every operation is logarithmic in the number of upstreams.
 """
@@ -24,7 +25,7 @@
 
 
 class PooledUpstream:
-    """What the pool knows of an upstream; times on the arbiter's clock."""
+    """The state of an upstream in the pool; times on the arbiter's clock."""
 
     def __init__(self, upstream_id):
         self.id = upstream_id
@@ -47,7 +48,7 @@
         return self.loan_end > now
 
     def may_serve(self, now):
-        """Tell whether a grant is allowed, ejection aside."""
+        """Tell whether a grant is allowed, apart from ejection."""
         return (
             self.usable
             and self.loan_end > now
@@ -57,7 +58,7 @@
 
 
 class Pool:
-    """Upstreams by id, with those that have a free slot in order."""
+    """Upstreams by id, and those with a free slot in order of choice."""
 
     def __init__(self, warmup):
         self.warmup = warmup
@@ -72,7 +73,7 @@
         self._uses = 0
 
     def get(self, upstream_id):
-        """Return the upstream, known from now on."""
+        """Return the upstream; adds it if it is unknown."""
         upstream = self.upstream_by_id.get(upstream_id)
         if upstream is None:
             upstream = PooledUpstream(upstream_id)
@@ -80,7 +81,7 @@
         return upstream
 
     def forget(self, upstream_id):
-        """Drop an upstream that has neither loan nor open permits."""
+        """Remove an upstream without a loan, unless it has open permits."""
         upstream = self.upstream_by_id.get(upstream_id)
         if upstream and upstream.open_count == 0:
             self._set_position(upstream, 0, 0, None)
@@ -90,7 +91,7 @@
             del self.upstream_by_id[upstream_id]
 
     def refresh(self, upstream, now):
-        """Bring an upstream's place up to date after any change to it."""
+        """Update an upstream's position after any change to it."""
         capacity = self._get_capacity(upstream, now)
         eager = self._get_eager(upstream, now) if capacity else 0
         key = None
@@ -110,7 +111,7 @@
             self._unusable.add(upstream.id)
 
     def run_timers(self, now):
-        """Bring up to date the upstreams whose loan, block or rest ended."""
+        """Update the upstreams whose loan, block, ejection or pause ended."""
         for upstream_id in self._timers.pop_due(now):
             self.refresh(self.upstream_by_id[upstream_id], now)
 
@@ -121,7 +122,7 @@
     def find_free(self, excluded, now):
         """Return the best upstream with a free slot, or ``None``.
 
-        It may be a reluctant one; ask ``has_free`` before.
+        The slot may be reluctant; call ``has_free`` first.
         """
         for *_, upstream_id in self._free:
             upstream = self.upstream_by_id[upstream_id]
@@ -130,7 +131,7 @@
         return None
 
     def is_all_excluded(self, excluded):
-        """Tell whether every usable upstream is among the excluded ones."""
+        """Tell whether every usable upstream is excluded."""
         if len(excluded) < self.usable_count:
             return False
         known = (self.upstream_by_id.get(upstream_id) for upstream_id in excluded)
@@ -144,19 +145,19 @@
         return include_reluctant or not self._free[0][0]
 
     def take(self, upstream, now):
-        """Count a permit opened on the upstream."""
+        """Record that a permit on the upstream was opened."""
         self._uses += 1
         upstream.used_at = self._uses
         upstream.open_count += 1
         self.refresh(upstream, now)
 
     def give_back(self, upstream, now):
-        """Count a permit ended on the upstream."""
+        """Record that a permit on the upstream has ended."""
         upstream.open_count -= 1
         self.refresh(upstream, now)
 
     def lift_ejections(self, now):
-        """Use ejected upstreams again: nothing else is left."""
+        """End all ejections, when no other upstream is left."""
         for upstream_id in list(self._ejected):
             upstream = self.upstream_by_id[upstream_id]
             upstream.ejected_until = 0.0
@@ -165,9 +166,9 @@
     def may_recover(self):
         """Tell whether slots may become usable soon.
 
-        So it is while no loan has come in yet, while a loan has lapsed or
-        while the permits of a former arbiter are being counted; not where
-        every upstream is out by its own health.
+        This is so before the first loan, after a loan has expired and
+        while the permits of a former arbiter are collected, but not if
+        every upstream is unusable by its own health.
         """
         return not self._unusable or len(self._unusable) < len(self.upstream_by_id)
 
--- a/godwitlanding/daemons/replica.py
+++ b/godwitlanding/daemons/replica.py
@@ -1,9 +1,9 @@
-"""Versioned objects that a process holds, never going back to an older one.
+"""Keeps the newest version of each replicated object of a process.
 
 A partitioned peer, a platform restored from a backup or a late message may
-offer an older version. Taking it would undo an accepted change, which
-users would notice as configuration that reverts; so the highest version
-wins here, in the one place through which every object passes.
+offer an older version. Accepting it would undo a change, and users would
+see the configuration revert. Every object passes through this module, and
+the highest version wins.
 
 >>> replica = Replica()
 >>> replica.offer(State("config", "main", 7, b"..."))
@@ -14,8 +14,8 @@
 
 from eliot import log_message
 
-# The view of a zone's members comes from one source at a time and its
-# versions do not compare between sources.
+# The list of a zone's members comes from one source at a time, and versions
+# of different sources can't be compared.
 UNORDERED_KINDS = frozenset({"members"})
 
 
@@ -28,7 +28,7 @@
         self._listeners = []
 
     def offer(self, state):
-        """Take ``state`` if it is newer; tell whether it was taken."""
+        """Store ``state`` if it is newer; return whether it was stored."""
         key = (state.kind, state.name)
         held = self.state_by_key.get(key)
         if held and state.kind not in UNORDERED_KINDS:
@@ -43,29 +43,29 @@
         return True
 
     def get(self, kind, name):
-        """Return the state held, or ``None``."""
+        """Return the stored state, or ``None``."""
         return self.state_by_key.get((kind, name))
 
     def get_version(self, kind, name):
-        """Return the version held, 0 for none."""
+        """Return the stored version, 0 if there is none."""
         held = self.get(kind, name)
         return held.version if held else 0
 
     def get_versions(self):
-        """Return the version held by ``kind/name``."""
+        """Return the stored versions by ``kind/name``."""
         states = self.state_by_key.values()
         return {f"{state.kind}/{state.name}": state.version for state in states}
 
     def get_kind(self, kind):
-        """Return all states held of a kind."""
+        """Return all stored states of a kind."""
         return [state for key, state in self.state_by_key.items() if key[0] == kind]
 
     def listen(self, listener):
-        """Call ``listener(state)`` for each state taken from now on."""
+        """Call ``listener(state)`` for each state stored from now on."""
         self._listeners.append(listener)
 
     def drop_body(self, state):
-        """Keep only the version of a state whose body is held elsewhere."""
+        """Remove the body of a state that is kept elsewhere."""
         key = (state.kind, state.name)
         if self.state_by_key.get(key) is state:
             self.state_by_key[key] = state._replace(body=b"")
--- a/godwitlanding/daemons/request.py
+++ b/godwitlanding/daemons/request.py
@@ -1,4 +1,4 @@
-"""A caller's request as the entry daemon carries it."""
+"""The caller's request as the entry daemon processes it."""
 
 from typing import NamedTuple
 
@@ -9,16 +9,16 @@
 
 SAFE_METHODS = frozenset(("GET", "HEAD", "OPTIONS"))
 IDEMPOTENT_METHODS = frozenset(("GET", "HEAD", "OPTIONS", "PUT", "DELETE"))
-# Enough to tell two requests apart, little enough to cost microseconds.
+# Enough to distinguish requests, and hashed within microseconds.
 FINGERPRINT_BODY_BYTES = 4096
 
 
 class Request(NamedTuple):
     """A request; ``deadline`` is on the loop's clock, in seconds.
 
-    ``target`` is path and query as sent. ``body`` holds the first bytes;
-    where ``rest`` is set, it is an async iterator over what follows, and
-    the request can be sent only once.
+    ``target`` is path and query as received. ``body`` has the first bytes.
+    ``rest`` is an async iterator over the following ones, or ``None``; a
+    request with ``rest`` can be sent only once.
     """
 
     id: str
@@ -36,14 +36,14 @@
 
     @property
     def from_zone(self):
-        """Return the zone that spilled the request, ``""`` for none."""
+        """Return the zone that spilled the request, or ``""``."""
         return self.forward.from_zone if self.forward.kind == HOP else ""
 
     @property
     def is_idempotent(self):
-        """Tell whether running it twice does no harm.
+        """Tell whether the request may safely run twice.
 
-        In a service of transactions only reading is believed to be safe.
+        In a service of transactions only safe methods are idempotent.
         """
         if self.service.kind == KIND_TRANSACTION:
             return self.method in SAFE_METHODS
@@ -51,15 +51,15 @@
 
     @property
     def needs_ticket(self):
-        """Tell whether it may run at most once and its key is kept here.
+        """Tell whether it may run at most once and is recorded here.
 
-        A request that another zone spilled has its claim kept there.
+        The claim of a spilled request is recorded in the zone it came from.
         """
         is_work = self.service.kind == KIND_TRANSACTION
         return is_work and self.method not in SAFE_METHODS and not self.from_zone
 
     def get(self, name):
-        """Return the last header called ``name`` (lower case), or ``""``."""
+        """Return the last header ``name`` (in lower case), or ``""``."""
         for found, value in reversed(self.headers):
             if found == name:
                 return value
@@ -67,17 +67,17 @@
 
     @property
     def is_repeatable(self):
-        """Tell whether the body is still here to be sent again."""
+        """Tell whether the whole body is available for another attempt."""
         return self.rest is None
 
 
 def compute_fingerprint(service, method, target, body):
-    """Return 64 bits that are the same when a caller sends it again."""
+    """Return a 64-bit hash that is the same when a request is repeated."""
     head = f"{service}\0{method}\0{target}\0".encode()
     return xxhash.xxh64_intdigest(head + body[:FINGERPRINT_BODY_BYTES])
 
 
 def compute_body_fingerprint(request):
-    """Return 64 bits over the whole request, which a key is bound to."""
+    """Return a 64-bit hash of the whole request, to which a key is bound."""
     head = f"{request.service.name}\0{request.method}\0{request.target}\0".encode()
     return xxhash.xxh64_intdigest(head + request.body)
--- a/godwitlanding/daemons/requestreader.py
+++ b/godwitlanding/daemons/requestreader.py
@@ -1,9 +1,9 @@
-"""A caller's side of a request: its body as it comes, and whether it left."""
+"""Reads a request's body and detects that its caller has disconnected."""
 
 import asyncio
 
-# Parts of a body that wait for the upstream to take them; each is at most
-# what one read of the connection gives, 64 KB or so.
+# Parts of a body that are queued for the upstream; each is one read of the
+# connection, about 64 KB at most.
 _MAX_QUEUED_PARTS = 4
 _END = None
 
@@ -11,9 +11,10 @@
 class RequestReader:
     """Reads a request's body and watches its connection.
 
-    ``receive`` is ASGI's. After ``read_head``, ``watch`` cancels the task
-    that serves the request as soon as the caller is gone or has sent more
-    than ``limit_bytes``; ``is_gone`` and ``is_too_large`` tell which.
+    ``receive`` is the ASGI callable. After ``read_beginning``, ``watch``
+    cancels the task that serves the request as soon as the caller has
+    disconnected (``is_gone``) or sent more than ``limit_bytes``
+    (``is_too_large``).
     """
 
     def __init__(self, receive, limit_bytes):
@@ -26,9 +27,9 @@
         self._task = None
 
     async def read_beginning(self, buffer_bytes):
-        """Return the body, or its beginning where it is longer.
+        """Return the body, or more than ``buffer_bytes`` of a longer one.
 
-        Stops early when the caller is gone or the body too large.
+        Stops early if the caller disconnects or the body is too large.
         """
         first = await self._read_part()
         if self._is_complete or self.is_gone or self.is_too_large:
@@ -41,9 +42,9 @@
         return b"".join(parts)
 
     def watch(self, task):
-        """Begin to watch; return an iterator over the rest of the body.
+        """Start to watch; return an async iterator over the rest of the body.
 
-        Returns ``None`` where the body is here whole.
+        Returns ``None`` if the whole body has been read.
         """
         rest = None
         if not self._is_complete:
--- a/godwitlanding/daemons/responsechecks.py
+++ b/godwitlanding/daemons/responsechecks.py
@@ -1,9 +1,9 @@
-"""Whether an upstream's answer is whole, and whose it is.
+"""Checks that an upstream's response is complete and for its request.
 
-Load pattern: an upstream dies, sheds or drains in the middle of its work,
-or a connection delivers an answer late or twice. Without these checks a
-printable pass without its photo would look complete, or a caller would
-get another caller's pass.
+An upstream may crash, shed load or drain while it serves a request, and a
+connection may deliver a response late or twice. Without these checks a
+truncated response (a printable pass without its photo) would look
+complete, or a caller would get the response to another caller.
 """
 
 import re
@@ -13,18 +13,18 @@
 from godwitlanding.base.headers import UPSTREAM_REFUSED, UPSTREAM_REQUEST_ID
 from godwitlanding.base.messages import OUTCOME_LEAVING, OUTCOME_SHED
 
-# Most look-ups are far smaller; 64 KB for each request in progress keeps
-# 500 of them within 32 MB.
+# Most responses to look-ups are far smaller. 500 requests in progress with
+# 64 KB each take 32 MB.
 SMALL_RESPONSE_BYTES = 65_536
 _BODILESS_STATUSES = (204, 304)
 _CONTENT_RANGE = re.compile(r"bytes (\d+)-(\d+)/(\d+)")
 
 
 class AttemptResult(NamedTuple):
-    """What became of one dispatch; ``code`` is ``None`` when all is well.
+    """The result of one dispatch; ``code`` is ``None`` on success.
 
-    ``outcome`` goes to the arbiter, ``run`` says whether the upstream may
-    have run the request.
+    ``outcome`` is reported to the arbiter. ``run`` says whether the
+    upstream may have run the request.
     """
 
     outcome: str
@@ -35,9 +35,10 @@
 
 
 class ResumePoint(NamedTuple):
-    """A download that broke off: its strong validator and its length.
+    """What an interrupted download needs in order to be resumed.
 
-    ``total`` is ``None`` where the answer came in chunks.
+    ``etag`` is its strong validator and ``total`` its length in bytes,
+    ``None`` for a chunked response.
     """
 
     etag: str
@@ -51,24 +52,27 @@
 
 
 def read_upstream_refusal(status, headers):
-    """Return the ``Attempt`` that an upstream says it did not run."""
+    """Return the ``AttemptResult`` of a request that was not run.
+
+    Returns ``None`` unless the upstream's response is a refusal.
+    """
     if status != 503:
         return None
     return _REFUSAL_BY_HEADER.get(headers.get(UPSTREAM_REFUSED, "").strip().lower())
 
 
 def read_length(headers):
-    """Return the length that the head promises, or ``None`` for chunks."""
+    """Return the ``Content-Length``, ``None`` for a chunked response."""
     text = headers.get("Content-Length")
     return int(text) if text is not None else None
 
 
 def check_head(request, status, headers):
-    """Return what is wrong with an answer's head, ``""`` if nothing.
+    """Return what is wrong with the status and headers, or ``""``.
 
-    An answer that ends with its connection cannot be told from one that
-    broke off, so it is not taken. An answer with the id of another
-    request is late or mixed up.
+    A response that is delimited by the end of its connection can't be told
+    from a truncated one, so it is rejected. A response with the id of
+    another request is late or mixed up.
     """
     answered_id = headers.get(UPSTREAM_REQUEST_ID)
     if answered_id is not None and answered_id != request.id:
@@ -82,10 +86,10 @@
 
 
 def make_resume_point(request, status, headers):
-    """Return the ``Resume`` for an answer that may be continued later.
+    """Return the ``ResumePoint`` of a resumable response, or ``None``.
 
-    Only a strong validator will do: under a weak one two upstreams may
-    give different bytes, and the caller would get a mixture that looks
+    A strong validator is required: with a weak one two upstreams may send
+    different bytes, and the caller would get a mixture of both that looks
     complete.
     """
     etag = headers.get("ETag", "")
@@ -96,12 +100,12 @@
 
 
 def make_range_headers(resume, sent_bytes):
-    """Return the headers that ask for the rest of a broken download."""
+    """Return the headers that request the rest of a download."""
     return [("Range", f"bytes={sent_bytes}-"), ("If-Range", resume.etag)]
 
 
 def check_continuation(resume, sent_bytes, status, headers):
-    """Return why an answer is not the rest of a download, ``""`` if it is."""
+    """Return why a response can't continue a download, or ``""``."""
     if status != 206:
         return f"status {status} in place of the rest"
     if headers.get("ETag") != resume.etag:
--- a/godwitlanding/daemons/responsewriter.py
+++ b/godwitlanding/daemons/responsewriter.py
@@ -1,4 +1,4 @@
-"""Where an answer goes: the caller's connection."""
+"""Writes responses to the caller's connection."""
 
 from godwitlanding.base.headers import REPLAYED, REQUEST_ID
 from godwitlanding.daemons.journalformat import RECORDED_BODY_BYTES, Outcome
@@ -11,12 +11,12 @@
 
 
 class ResponseWriter:
-    """Sends an answer by ASGI and knows how much of it has gone.
+    """Sends a response by ASGI and counts the bytes sent.
 
-    ``closes`` tells whether the process leaves: a caller who goes on to
-    use its connection might find it closed under a request. ``resume`` is
-    what a download that breaks off is continued by. An answer that is begun
-    and never finished closes the connection, so that it cannot look
+    ``is_closing`` tells whether the process is leaving; the response then
+    closes the connection, which otherwise could be closed during a later
+    request. ``resume`` is the ``ResumePoint`` of a download. A response that
+    is started but not finished closes the connection, so that it can't look
     complete.
     """
 
@@ -30,13 +30,13 @@
         self._request_id = request_id
 
     async def start(self, status, headers):
-        """Send the head of the answer; ``headers`` are pairs of text."""
+        """Send status and headers; ``headers`` are pairs of strings."""
         self.started = True
         pairs = [
             (name.encode("latin-1"), value.encode("utf-8", "surrogateescape"))
             for name, value in headers
-            # The server counts the body against the length and a status
-            # without a body has none.
+            # The server compares the body with the length, and responses
+            # with these statuses have no body.
             if status not in _BODILESS_STATUSES or name != "content-length"
         ]
         pairs.append((REQUEST_ID.lower().encode(), self._request_id.encode()))
@@ -47,7 +47,7 @@
         )
 
     async def write(self, chunk):
-        """Send a part of the body; waits while the caller reads slowly."""
+        """Send a part of the body; waits if the caller reads slowly."""
         self.sent_bytes += len(chunk)
         await self._send(
             {"type": "http.response.body", "body": chunk, "more_body": True}
@@ -61,12 +61,11 @@
 
 
 class ResponseRecorder:
-    """Takes the answer to non-idempotent work, whether or not it is wanted.
+    """Buffers the response to non-idempotent work.
 
-    The work goes on when its caller has left, and a caller that reads
-    slowly must not keep its slot. So the answer is kept here whole and
-    handed on at the end; only one over ``MAX_KEPT_BYTES`` is passed
-    through as it comes.
+    The work continues after its caller has disconnected, and a slow caller
+    must not occupy the slot. The response is therefore buffered and sent at
+    the end. Only one over ``MAX_BUFFERED_BYTES`` is streamed.
     """
 
     MAX_BUFFERED_BYTES = 1_000_000
@@ -83,20 +82,20 @@
         self._is_streaming = False
 
     async def start(self, status, headers):
-        """Take the head of the answer."""
+        """Buffer status and headers."""
         self.started = True
         self._status = status
         self._headers = headers
 
     async def write(self, chunk):
-        """Take a part of the body."""
+        """Buffer a part of the body, or stream it if too much is buffered."""
         self.sent_bytes += len(chunk)
         self._parts.append(chunk)
         if self._is_streaming or self.sent_bytes > self.MAX_BUFFERED_BYTES:
             await self._stream()
 
     async def finish(self, chunk=b""):
-        """Take the last part of the body."""
+        """Buffer the last part of the body."""
         self.sent_bytes += len(chunk)
         self._parts.append(chunk)
         self.finished = True
@@ -111,7 +110,7 @@
         return Outcome(self._status, headers, body)
 
     async def deliver(self):
-        """Give the caller what is here, if there is an answer."""
+        """Send the caller the rest of a complete response."""
         if self.finished and not self._is_streaming:
             await self._sink.start(self._status, self._headers)
         if self.finished:
@@ -126,7 +125,7 @@
 
 
 async def replay(outcome, sink):
-    """Give a caller the recorded answer to its ticket."""
+    """Send a caller the recorded response to its ticket."""
     headers = [*outcome.headers, ("content-length", str(len(outcome.body)))]
     await sink.start(outcome.status, [*headers, (REPLAYED.lower(), "1")])
     await sink.finish(outcome.body)
--- a/godwitlanding/daemons/roster.py
+++ b/godwitlanding/daemons/roster.py
@@ -1,13 +1,13 @@
-"""Which member of a zone owns which upstream, and when that may change.
+"""Decides which member of a zone owns which upstream.
 
-Answers the pattern of VMs that are restarted or replaced under load: the
-slots of a lost member have to come back into use, yet never while somebody
-may still use them. An upstream passes to another member only when its owner
-has released it, or when the platform's list says that the owner's VM is
-gone and the longest loan and the longest permit have ended since. Without
-the waits two members would lend the same slots and upstreams would be
-pushed over; without the second way the slots of a lost VM would idle for
-good. A member that is merely silent keeps its upstreams.
+When VMs are restarted or replaced under load, the slots of a lost member
+have to be used again, but not while they may still be in use. An upstream
+passes to another member only if its owner has released it, or if the
+owner's VM is missing from the platform's list and the longest loan and the
+longest permit have ended since. Without the waits, two members would lend
+the same slots and upstreams would be overloaded. Without the second rule,
+the slots of a lost VM would be idle forever. A member that is silent but
+listed keeps its upstreams.
 
 Pure: ``now`` is seconds of one monotonic clock.
 """
@@ -20,19 +20,19 @@
 from godwitlanding.daemons.loan import CLOCK_RATE_MARGIN, Handover
 
 ROSTER_KIND = "roster"
-# A member that has just come is given work when it has stayed this long,
-# so that one which starts and fails in a loop does not move slots about.
+# A new member gets upstreams after this time, so that a member in a crash
+# loop does not cause slots to be moved.
 REBALANCE_AFTER_S = 3.0
 
 
 class Roster(NamedTuple):
-    """The owners of a zone's upstreams."""
+    """The owners of a zone's upstreams and their handovers."""
 
     owner_by_upstream: dict[str, str]
     handover_by_upstream: dict[str, Handover]
 
     def get_owned(self, vm):
-        """Return the handover, or ``None``, of each upstream of ``vm``."""
+        """Return each upstream of ``vm`` with its handover or ``None``."""
         return {
             upstream: self.handover_by_upstream.get(upstream)
             for upstream, owner in self.owner_by_upstream.items()
@@ -40,7 +40,7 @@
         }
 
     def assign(self, handover_by_upstream, owner_by_upstream):
-        """Return the roster with the changes made."""
+        """Return a copy of the roster with changed owners."""
         handovers = dict(self.handover_by_upstream)
         for upstream, handover in handover_by_upstream.items():
             turn = handovers[upstream].turn + 1 if upstream in handovers else 1
@@ -52,7 +52,7 @@
 
 
 def parse_roster(body):
-    """Return the roster in a state's body; ``ValueError`` if it is none."""
+    """Return the decoded roster; raises ``ValueError``."""
     try:
         value = json.loads(body)
         handover_by_upstream = {
@@ -63,11 +63,11 @@
         }
         return Roster(dict(value["owner_by_upstream"]), handover_by_upstream)
     except (TypeError, KeyError, AttributeError) as error:
-        raise ValueError(f"not a roster: {error}") from error
+        raise ValueError(f"invalid roster: {error}") from error
 
 
 def format_roster(roster):
-    """Return the bytes of a roster as the platform stores it."""
+    """Return the encoded roster as stored in the platform."""
     return json.dumps(roster._asdict(), sort_keys=True).encode()
 
 
@@ -80,7 +80,7 @@
 
 
 class RosterPlanner:
-    """Decides which upstreams may change hands; others make the writes."""
+    """Plans changes of owners; the caller writes them."""
 
     def __init__(self, vm, loan_s):
         self._vm = vm
@@ -88,14 +88,17 @@
         self._gone_since_by_vm = {}
 
     def update_gone_vms(self, gone_vms, now):
-        """Take which owners' VMs the platform's list lacks."""
+        """Set the VMs that are missing from the platform's list."""
         for vm in set(self._gone_since_by_vm) - set(gone_vms):
             del self._gone_since_by_vm[vm]
         for vm in gone_vms:
             self._gone_since_by_vm.setdefault(vm, now)
 
     def find_claims(self, roster, longest_permit_s_by_upstream, candidates, now):
-        """Return ``(owners, handovers)`` of upstreams that nobody can use."""
+        """Return new ``(owners, handovers)`` for upstreams not in use.
+
+        These have no owner, or one whose loans and permits have ended.
+        """
         incarnation_by_vm = {c.vm: c.incarnation for c in candidates}
         owner_by_upstream = {}
         handover_by_upstream = {}
@@ -112,7 +115,7 @@
         return owner_by_upstream, handover_by_upstream
 
     def find_releases(self, owned, candidates, leaving, now):
-        """Return the next owner of each upstream that this member gives up."""
+        """Return the next owner of each upstream to be released."""
         stable = [
             candidate.vm
             for candidate in candidates
@@ -128,7 +131,7 @@
         return next_owner_by_upstream
 
     def get_status(self, now):
-        """Return the owners that are gone and for how long, in seconds."""
+        """Return how long each missing owner has been gone, in seconds."""
         return {vm: round(now - at, 1) for vm, at in self._gone_since_by_vm.items()}
 
     def _may_reassign(self, owner, permit_s, now):
--- a/godwitlanding/daemons/ticket.py
+++ b/godwitlanding/daemons/ticket.py
@@ -1,8 +1,8 @@
-"""Tickets: who may run a piece of non-idempotent work, and how it is kept.
+"""Issues and verifies tickets for non-idempotent work.
 
-A caller sends its ticket as ``Idempotency-Key`` and sends the same one when
-it presses again. The ticket is authenticated, so that nobody can make up a
-home for it, and names its home: the one entry process that may run it.
+A caller sends its ticket as ``Idempotency-Key``, and the same one on a
+retry. The ticket names its home, the only entry process that may run the
+work. It is authenticated so that no caller can choose the home.
 
 >>> ticket = Ticket("renewal", JOURNALED, "maz-a1", "i1", 5, "x1")
 >>> text = issue_ticket(key, ticket)
@@ -30,8 +30,8 @@
 class Ticket(NamedTuple):
     """A ticket; ``issued_s`` is the issuer's wall clock in whole seconds.
 
-    The wall clock only bounds how long records are kept; no decision on
-    whether work may run depends on it.
+    The wall clock only limits how long records are kept. Whether work may
+    run does not depend on it.
     """
 
     service: str
@@ -43,14 +43,14 @@
 
 
 def issue_ticket(key, ticket):
-    """Return the ticket's text; ``key`` is bytes that all processes hold."""
+    """Return the encoded ticket; ``key`` is shared by all processes."""
     payload = json.dumps(list(ticket), separators=(",", ":")).encode()
     digest = hmac.digest(key, payload, hashlib.sha256)[:_DIGEST_BYTES]
     return PREFIX + base64.urlsafe_b64encode(digest + payload).decode().rstrip("=")
 
 
 def read_ticket(key, text):
-    """Return ``Ok(ticket)`` or ``Err`` BAD_TICKET."""
+    """Return ``Ok(ticket)``, or ``Err`` with the code ``BAD_TICKET``."""
     try:
         if not text.startswith(PREFIX) or len(text) > MAX_TICKET_CHARS:
             raise ValueError("not a ticket")
@@ -66,5 +66,5 @@
 
 
 def is_ticket(text):
-    """Tell whether a key has the form of a ticket, not of a caller's own."""
+    """Tell whether an idempotency key has the prefix of a ticket."""
     return text.startswith(PREFIX)
--- a/godwitlanding/daemons/trace.py
+++ b/godwitlanding/daemons/trace.py
@@ -1,9 +1,8 @@
-"""What became of recent requests, so that an operator can ask why.
+"""Keeps the events of recent requests for diagnosis.
 
-Each entry process keeps the events of its newest requests in memory:
-where the request went, what refused it and for how long it waited.
-``godwitctl explain`` reads them. The oldest are dropped, so a busy day costs
-no more memory than a quiet one.
+Each entry process keeps the events of its newest requests in memory: where
+the request went, why it was refused and how long it waited. ``godwitctl
+explain`` reads them. The oldest are dropped, which bounds the memory.
 
 >>> trace = Trace()
 >>> trace.add("r1", "refused", code="QUEUE_FULL")
@@ -14,20 +13,20 @@
 from collections import OrderedDict
 from datetime import UTC, datetime
 
-# About 1 kB a request: 4 MB, and some seconds of a VM's full rate.
+# At 1 kB each, 4 MB; a few seconds of a VM's full request rate.
 MAX_REQUESTS = 4000
 MAX_EVENTS_PER_REQUEST = 20
 
 
 class Trace:
-    """The events of the newest requests by request id."""
+    """The events of the newest requests, by request id."""
 
     def __init__(self, max_requests=MAX_REQUESTS):
         self._events_by_id = OrderedDict()
         self._max_requests = max_requests
 
     def add(self, request_id, event, **fields):
-        """Note an event; the wall clock is for the person who reads it."""
+        """Add an event with the current wall clock time."""
         events = self._events_by_id.setdefault(request_id, [])
         if len(events) < MAX_EVENTS_PER_REQUEST:
             events.append((datetime.now(UTC), event, fields))
@@ -35,7 +34,7 @@
             self._events_by_id.popitem(last=False)
 
     def get(self, request_id):
-        """Return a request's events, oldest first, as plain tables."""
+        """Return a request's events as dictionaries, oldest first."""
         return [
             {"at": at.isoformat(timespec="milliseconds"), "event": event, **fields}
             for at, event, fields in self._events_by_id.get(request_id, [])
--- a/godwitlanding/daemons/upstreamowner.py
+++ b/godwitlanding/daemons/upstreamowner.py
@@ -1,8 +1,8 @@
-"""What one member does about the roster: lend, take up, give up.
+"""Lends, claims and releases the upstreams that one member owns.
 
-Joins ``RosterKeeper``, which decides what may change hands, with the
-member's own ``Lender``. The service ``lending`` gives it the roster and
-makes the writes that it asks for.
+Combines ``RosterPlanner``, which plans changes of owners, with the member's
+``Lender``. The service ``lending`` passes the roster to it and writes the
+changed roster that it returns.
 
 Pure: ``now`` is seconds of one monotonic clock.
 """
@@ -14,13 +14,13 @@
 
 
 class RosterInputs(NamedTuple):
-    """What a member sees when it looks at the roster.
+    """What a member knows when it checks the roster.
 
-    ``candidates`` may own upstreams, this member too unless it leaves;
-    ``gone_vms`` are silent and not in the platform's list. One member of a
-    zone ``is_writer`` for claims. Without ``may_release`` nothing more is
-    taken out of use, since a write whose answer is lost could not be
-    settled.
+    ``candidates`` may own upstreams, including this member unless it is
+    leaving. ``gone_vms`` are silent and missing from the platform's list.
+    ``is_writer`` is true for the one member of a zone that writes claims.
+    Without ``may_release`` no further upstream is released, since the
+    result of a write without a response could not be determined.
     """
 
     candidates: tuple
@@ -31,7 +31,7 @@
 
 
 class UpstreamOwner:
-    """Looks after the upstreams that one member owns."""
+    """Manages the upstreams that one member owns."""
 
     def __init__(self, vm, incarnation, loan_s, started_at):
         self.roster = EMPTY_ROSTER
@@ -43,37 +43,37 @@
         self._planner = RosterPlanner(vm, loan_s)
 
     def update_roster(self, roster, version, now):
-        """Take a newer roster."""
+        """Apply a roster if it is newer."""
         if version <= self.version:
             return
         self.roster = roster
         self.version = version
-        # A write on an older version can no longer take effect.
+        # A write that expects an older version can't take effect any more.
         self._released.clear()
         owned = roster.get_owned(self._vm)
         self.lender.set_owned(owned, now)
         for upstream in set(self.next_owner_by_upstream) - set(owned):
             del self.next_owner_by_upstream[upstream]
 
-    def plan_change(self, surroundings, permit_s_by_upstream, now):
-        """Return the roster to write now, or ``None``."""
-        self._planner.update_gone_vms(surroundings.gone_vms, now)
-        self._choose_next_owners(surroundings, now)
-        owners, handovers = self._release(surroundings, permit_s_by_upstream, now)
-        # The answer to the write may be lost: whatever becomes of it, these
-        # are lent no more until a newer roster says whose they are.
-        # Otherwise both the new owner and this member would lend them.
+    def plan_change(self, inputs, permit_s_by_upstream, now):
+        """Return the changed roster to write, or ``None``."""
+        self._planner.update_gone_vms(inputs.gone_vms, now)
+        self._choose_next_owners(inputs, now)
+        owners, handovers = self._release(inputs, permit_s_by_upstream, now)
+        # The write may take effect even if its response is lost. These
+        # upstreams are not lent until a newer roster names their owner, or
+        # the new owner and this member could both lend them.
         self._released.update(owners)
-        if surroundings.is_writer:
+        if inputs.is_writer:
             claims = self._planner.find_claims(
-                self.roster, permit_s_by_upstream, surroundings.candidates, now
+                self.roster, permit_s_by_upstream, inputs.candidates, now
             )
             owners.update(claims[0])
             handovers.update(claims[1])
         return self.roster.assign(handovers, owners) if owners else None
 
     def get_status(self, now):
-        """Return owners, loans and what is under way, for operators."""
+        """Return owners, loans and pending releases for operators."""
         return {
             "loan_by_upstream": self.lender.get_status(now),
             "owner_by_upstream": self.roster.owner_by_upstream,
@@ -81,11 +81,11 @@
             "giving_up": self.next_owner_by_upstream,
         }
 
-    def _choose_next_owners(self, surroundings, now):
+    def _choose_next_owners(self, inputs, now):
         owned = self.lender.get_owned()
-        if surroundings.may_release or surroundings.leaving:
+        if inputs.may_release or inputs.leaving:
             self.next_owner_by_upstream = self._planner.find_releases(
-                owned, surroundings.candidates, surroundings.leaving, now
+                owned, inputs.candidates, inputs.leaving, now
             )
         for upstream in self._released & owned:
             self.next_owner_by_upstream.setdefault(upstream, self._vm)
@@ -93,8 +93,8 @@
             releasing = upstream in self.next_owner_by_upstream
             self.lender.set_releasing(upstream, releasing)
 
-    def _release(self, surroundings, permit_s_by_upstream, now):
-        incarnation_by_vm = {c.vm: c.incarnation for c in surroundings.candidates}
+    def _release(self, inputs, permit_s_by_upstream, now):
+        incarnation_by_vm = {c.vm: c.incarnation for c in inputs.candidates}
         longest_s = max(permit_s_by_upstream.values(), default=0.0)
         owners = {}
         handovers = {}
--- a/godwitlanding/daemons/view.py
+++ b/godwitlanding/daemons/view.py
@@ -1,7 +1,7 @@
-"""What a process reads from its replica, as typed values.
+"""Reads the objects of a replica as typed, cached values.
 
-Every value is parsed once for each new version, since the request path
-asks for them many thousand times a second.
+Each value is parsed once for each new version, since the request path reads
+the values many thousand times a second.
 """
 
 import json
@@ -22,7 +22,7 @@
 
 
 class Members(NamedTuple):
-    """The zone daemon's view: members and each service's arbiters."""
+    """The members of a zone and the arbiters of each service."""
 
     members: tuple[Member, ...]
     arbiters_by_service: dict[str, tuple[str, ...]]
@@ -50,7 +50,7 @@
 
 
 class View:
-    """Typed, cached reading of a ``Replica``."""
+    """Typed and cached access to a ``Replica``."""
 
     def __init__(self, replica, availability_zone):
         self._replica = replica
@@ -67,38 +67,38 @@
         }
 
     def get_config(self):
-        """Return the ``Configuration`` in force, or ``None``."""
+        """Return the current ``Configuration``, or ``None``."""
         return self._get(CONFIG_KIND, CONFIG_NAME, None)
 
     def get_plan(self):
-        """Return the ``Plan`` in force."""
+        """Return the current ``Plan``."""
         return self._get(PLAN_KIND, MAIN_NAME, EMPTY_PLAN)
 
     def get_zone(self):
-        """Return the ``Members`` of the process's own zone."""
+        """Return members and arbiters of the own zone."""
         return self._get(MEMBERS_KIND, self._zone, NO_MEMBERS)
 
     def get_members(self):
-        """Return the members of the process's own zone."""
+        """Return the members of the own zone."""
         return self.get_zone().members
 
     def get_vms(self):
-        """Return the rows of the platform's VM list, of all zones."""
+        """Return the platform's VM list of all zones."""
         return self._get(VMS_KIND, MAIN_NAME, ())
 
     def get_ticket_key(self):
-        """Return the bytes that authenticate tickets, or ``None``."""
+        """Return the key that authenticates tickets, or ``None``."""
         return self._get(SECRET_KIND, TICKET_NAME, None)
 
     def find_member(self, vm):
-        """Return the member called ``vm``, or ``None``."""
+        """Return the member ``vm`` of the own zone, or ``None``."""
         for member in self.get_members():
             if member.vm == vm:
                 return member
         return None
 
     def get_address(self, vm):
-        """Return the IP number of a VM of any zone, or ``""``."""
+        """Return the IP address of a VM in any zone, or ``""``."""
         if not self._address_by_vm:
             self._address_by_vm = {row.vm: row.address for row in self.get_vms()}
             for member in self.get_members():
@@ -106,8 +106,8 @@
         return self._address_by_vm.get(vm, "")
 
     def _invalidate_addresses(self, state):
-        # Kept until the newer one is known to be readable: a daemon must
-        # not lose its configuration to a body that it cannot read.
+        # Parsed values are kept until the newer object has been parsed: an
+        # unreadable object must not remove a daemon's configuration.
         if state.kind in (MEMBERS_KIND, VMS_KIND):
             self._address_by_vm = {}
 
--- a/godwitlanding/tests/daemons/__init__.py
+++ b/godwitlanding/tests/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the three daemons."""
+"""Tests of the daemons ``godwit-steer``, ``-entry`` and ``-zone``."""
--- a/godwitlanding/tests/daemons/test_arbiter_states.py
+++ b/godwitlanding/tests/daemons/test_arbiter_states.py
@@ -1,6 +1,6 @@
-"""Random schedules of everything that may happen to an arbiter.
+"""Tests the arbiter with random schedules of events.
 
-The long version: ``GODWIT_SCHEDULES=2000 pytest .../test_arbiter_states.py``
+For a longer run: ``GODWIT_SCHEDULES=2000 pytest .../test_arbiter_states.py``
 """
 
 import os
@@ -20,7 +20,7 @@
 
 
 class ArbiterMachine(RuleBasedStateMachine):
-    """Keeps its own books and checks each decision against them."""
+    """Models the arbiter's state and checks each decision against it."""
 
     def __init__(self):
         super().__init__()
@@ -133,7 +133,7 @@
             self.forget_ended()
             self.check(self.arbiter.tick(self.now))
             after = self.arbiter.get_next_time()
-            assert after is None or after > self.now, "a due time comes back"
+            assert after is None or after > self.now, "a due time did not advance"
         self.now = end
         self.forget_ended()
         self.check(self.arbiter.tick(self.now))
--- a/godwitlanding/tests/daemons/test_blocks.py
+++ b/godwitlanding/tests/daemons/test_blocks.py
@@ -1,4 +1,4 @@
-"""Caller blocks: found, changed, and put together in any order."""
+"""Tests look-ups, changes and loading of caller blocks."""
 
 import random
 
@@ -91,10 +91,11 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_parts_arrive_in_any_order(seed):
-    """Pieces, deltas and the marker come from several peers at once.
+    """Pieces, deltas and the marker arrive from several peers at once.
 
-    Taken in the order of arrival, a later delta would be undone by an
-    earlier one and the nodes would send one caller to different zones.
+    If deltas were applied in order of arrival, an earlier one could
+    overwrite a later one, and nodes would direct a caller to different
+    zones.
     """
     parts = list(make_parts().items())
     random.Random(seed).shuffle(parts)
@@ -108,9 +109,10 @@
 
 
 def test_incomplete_table_is_not_used():
-    """A piece is still missing, as after a broken connection.
+    """A piece is missing, for example after a broken connection.
 
-    Its callers would be taken for unlisted ones and sent to other zones.
+    With an incomplete table its callers would be treated as unlisted and
+    directed to other zones.
     """
     loader = BlockLoader()
     parts = make_parts()
@@ -123,9 +125,10 @@
 
 
 def test_folding_keeps_later_deltas():
-    """The writer folds the first delta in while the second is in use.
+    """The writer folds in the first delta while the second is in use.
 
-    The new piece does not hold the second; its callers must not go back.
+    The new piece does not contain the second delta, which must still
+    apply to its callers.
     """
     loader = BlockLoader()
     for name, body in make_parts().items():
--- a/godwitlanding/tests/daemons/test_holdings.py
+++ b/godwitlanding/tests/daemons/test_holdings.py
@@ -1,4 +1,4 @@
-"""Which grants an entry process may use."""
+"""Tests which grants an entry process may use."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    ("heeded", "upstreams", "now", "error"),
+    ("current_arbiter", "upstreams", "now", "error"),
     [
         ("", (), 0.2, None),
         ("old", ("u1",), 0.2, None),
@@ -36,10 +36,10 @@
     ],
 )
 def test_grant_is_used_only_when_it_is_current(current_arbiter, upstreams, now, error):
-    """A new arbiter has asked for the open permits while a grant of the
-    former one is still under way, or the grant comes very late.
+    """A grant arrives late, or after a new arbiter collected open permits.
 
-    Using it would put one request more on the upstream than it has slots.
+    If a stale or late grant were used, the upstream would run one request
+    more than it has slots.
     """
     book = make_book()
     if current_arbiter:
@@ -54,7 +54,7 @@
 def test_permit_is_checked_again_before_dispatch(now, may):
     """The process is paused between the grant and the dispatch.
 
-    By the time it goes on, the slot may be another request's.
+    When it resumes, the slot may have been granted to another request.
     """
     book = make_book()
     permit = book.accept(GRANT, 0.0, "a:1", 0.2).unwrap()
@@ -70,9 +70,10 @@
 
 
 async def test_grant_for_a_disconnected_caller_is_released():
-    """The caller goes while the arbiter's grant is already under way.
+    """The caller disconnects while the arbiter's grant is in transit.
 
-    Its slot would stand idle until the permit expires.
+    If the grant were not released, its slot would be idle until the permit
+    expires.
     """
     async with Bench(ADDRESS, [answer_hello]) as bench:
 
@@ -90,9 +91,10 @@
 
 
 async def test_request_moves_from_a_silent_arbiter_to_its_replacement():
-    """The arbiter is paused with requests in its queue and is replaced.
+    """The arbiter is paused with queued requests and is replaced.
 
-    Its callers would otherwise wait until their deadlines for nothing.
+    If the requests did not move to the new arbiter, their callers would
+    wait until their deadlines.
     """
     async with Bench(ADDRESS, [answer_hello]) as bench:
 
--- a/godwitlanding/tests/daemons/test_journal.py
+++ b/godwitlanding/tests/daemons/test_journal.py
@@ -1,6 +1,6 @@
-"""At most once: the journal against every step where a fault may fall.
+"""Tests that the journal runs work at most once, with a fault at each step.
 
-The long version: ``GODWIT_SCHEDULES=2000 pytest .../test_journal.py``
+For a longer run: ``GODWIT_SCHEDULES=2000 pytest .../test_journal.py``
 """
 
 import os
@@ -24,7 +24,7 @@
 
 
 class FakeObject:
-    """One object of the platform, changed by conditional update only."""
+    """One object of the platform, changed only by conditional updates."""
 
     def __init__(self):
         self.stored = None
@@ -49,7 +49,7 @@
 
 
 def run_until(step):
-    """Bring a home as far as ``step``; return its journal and object."""
+    """Run a home until ``step``; return its journal and object."""
     journal, platform = Journal("h0"), FakeObject()
     claim = journal.press(make_ticket(), 7).unwrap()
     if step == "pressed":
@@ -81,10 +81,10 @@
     ],
 )
 def test_retry_after_the_home_was_killed(step, expected):
-    """A home is killed at some step of a payment; its caller presses again.
+    """A home is killed at some step of a payment and the caller retries.
 
-    Run a second time, a pensioner would be charged twice; told "unknown"
-    where nothing was claimed, she would be sent to the helpline for nothing.
+    A second run would charge the payer twice. Reporting an unknown outcome
+    where nothing was claimed would send her to the helpline needlessly.
     """
     _, platform = run_until(step)
     closed, value = close_journal(platform.stored, "h0", Closer("za2", "h1"))
@@ -100,9 +100,9 @@
 
 @pytest.mark.parametrize("step", ["pressed", "answer lost", "claimed"])
 def test_replaced_home_dispatches_no_new_claim(step):
-    """A home is paused, its journal is closed by another, and it goes on.
+    """A home is paused, another process closes its journal, and it resumes.
 
-    Whatever it had not claimed in time belongs to the other now.
+    Work that it had not claimed in time may be run by the other process.
     """
     journal, platform = run_until(step)
     _, value = close_journal(platform.stored, "h0", Closer("za2", "h1"))
@@ -120,10 +120,10 @@
 
 @pytest.mark.parametrize("took_effect", [True, False])
 def test_write_without_a_response_is_reconciled(took_effect):
-    """The platform does a write, or not, and its answer is lost either way.
+    """The response to a write is lost, whether or not it took effect.
 
-    Dispatching on a guess, a write that fails later would leave a payment
-    that was run without a claim.
+    If the work were dispatched without knowing, a payment could run
+    without a recorded claim.
     """
     journal, platform = Journal("h0"), FakeObject()
     claim = journal.press(make_ticket(), 7).unwrap()
@@ -139,7 +139,7 @@
 
 
 def test_journal_lost_by_a_restore_is_written_again():
-    # Written on a version that is gone, no claim would be recorded any more.
+    # If writes expected the lost version, no claim could be recorded any more.
     journal, platform = run_until("answer lost")
     journal.reconcile(platform.stored)
     platform.stored = None
@@ -154,7 +154,7 @@
 
 
 def test_late_write_is_identified_by_its_number():
-    """A write hangs, the next is sent, and the first takes effect first."""
+    """A write is delayed but takes effect before the next one."""
     journal, platform = Journal("h0"), FakeObject()
     first = journal.press(make_ticket("n1"), 7).unwrap()
     slow = journal.begin_write()
@@ -169,7 +169,7 @@
 
 @pytest.mark.parametrize("kind", [JOURNALED, MEMORY_ONLY])
 def test_retry_at_the_home(kind):
-    """A caller presses again while its first press runs, and afterwards."""
+    """A caller retries while its first request runs, and afterwards."""
     journal = Journal("h0")
     ticket = make_ticket(kind=kind)
     claim = journal.press(ticket, 7).unwrap()
@@ -181,10 +181,10 @@
 
 
 def test_ticket_whose_record_was_dropped_is_never_run_again():
-    """A caller presses a ticket again after its record is no longer kept.
+    """A caller retries a ticket after its record has been dropped.
 
-    Nothing is known of it then, so it must not be taken for new work, at
-    home or at the process that replaced it.
+    Neither the home nor the process that replaced it may treat the ticket
+    as new work, or the work would run twice.
     """
     journal, platform = run_until("done")
     journal.forget(100)
@@ -212,9 +212,9 @@
 
 
 def test_full_journal_drops_old_bodies_and_then_refuses():
-    """Payments come faster than their records may be forgotten.
+    """Payments arrive faster than their records may be dropped.
 
-    A journal over the platform's limit could not be written at all.
+    A journal above the platform's size limit could not be written at all.
     """
     journal = Journal("h0")
     answer = PAID._replace(body=b"x" * 2048)
@@ -230,10 +230,10 @@
 
 
 def test_full_journal_keeps_outcomes_for_a_shorter_time():
-    """Payments come at 20 a second for ten minutes to one entry VM.
+    """One entry VM gets 20 payments a second for ten minutes.
 
-    A journal that kept every outcome for its full time would refuse new
-    payments for minutes, while the upstreams' slots stand idle.
+    A journal that kept every outcome for the full time would refuse new
+    payments for minutes while the upstreams' slots are idle.
     """
     journal = Journal("h0")
     first = make_ticket("first", issued_s=1000)
@@ -258,25 +258,24 @@
 
 
 HOMES = (0, 1, 2)
-FATES = ("answered", "answered", "lost", "late")
+WRITE_RESULTS = ("answered", "answered", "lost", "late")
 ENDS = ("done", "unknown", "withdraw", "forget")
 ACTIONS = [
     *(("press", home, issued_s) for home in HOMES for issued_s in (1, 2, 2)),
-    *(("write", home, fate) for home in HOMES for fate in FATES),
+    *(("write", home, result) for home in HOMES for result in WRITE_RESULTS),
     *(("dispatch", home) for home in HOMES * 2),
     *(("end", home, end) for home in HOMES for end in ENDS if home < 2),
-    *(("land_late", home) for home in HOMES),
+    *(("apply_late_write", home) for home in HOMES),
     ("close", 0),
     ("close", 1),
 ]
 
 
 class Schedule:
-    """Three homes in a row, writes that take effect at any time, or never.
+    """Three successive homes; writes take effect at any time or never.
 
-    Home ``k`` closes the journals of the homes before it. A home that was
-    replaced goes on as if nothing had happened, since it may only have
-    been paused.
+    Home ``k`` closes the journals of the homes before it. A replaced home
+    continues to run, since it may only have been paused.
     """
 
     def __init__(self):
@@ -289,7 +288,10 @@
         self.done = set()
 
     def find_former(self, home):
-        """Return the closed journals before ``home``, if it may run."""
+        """Return the closed journals before ``home``, or ``None``.
+
+        ``None`` means that one is open and ``home`` may not run.
+        """
         if not all(number in self.closed for number in range(home)):
             return None
         return [self.closed[number] for number in range(home)]
@@ -305,16 +307,16 @@
         elif pressed.is_ok():
             assert ticket.nonce in self.done
 
-    def write(self, home, fate):
+    def write(self, home, result):
         journal, platform = self.journals[home], self.platforms[home]
         if journal.has_unresolved_writes:
             self.reconcile(home)
         write = journal.begin_write()
-        if fate == "late":
+        if result == "late":
             self.writes[home].append(write)
             return
         version = platform.put(write.value, write.expected_version)
-        if version and fate == "answered":
+        if version and result == "answered":
             journal.end_write(write, version)
 
     def apply_late_write(self, home):
@@ -367,9 +369,9 @@
 )
 @given(st.lists(st.sampled_from(ACTIONS), min_size=100, max_size=200))
 def test_random_schedules_run_nothing_twice(actions):
-    """Presses, writes, pauses and replacements come in any order at all.
+    """Requests, writes, pauses and replacements happen in any order.
 
-    A pensioner who is charged twice is what must never come of it.
+    No schedule may run the work of a ticket twice and charge a payer twice.
     """
     schedule = Schedule()
     for name, *arguments in actions:
--- a/godwitlanding/tests/daemons/test_membership.py
+++ b/godwitlanding/tests/daemons/test_membership.py
@@ -1,4 +1,4 @@
-"""Whom a zone's members ask for permits and for the platform's changes."""
+"""Tests the choice of arbiters and of members that watch the platform."""
 
 import pytest
 
@@ -22,8 +22,9 @@
 def test_zone_always_has_serving_members(members, serving):
     """Operators drain every VM of a zone, or its only one.
 
-    With nobody to watch the platform the zone would not hear of the end of
-    the drain; with nobody to grant, callers that still come are refused.
+    Without a member that watches the platform, the zone would not receive
+    the end of the drain. Without an arbiter, callers that still arrive
+    would be refused.
     """
     member_by_vm = {member.vm: member for member in members}
     assert set(choose_arbiters(["status"], member_by_vm)["status"]) == serving
--- a/godwitlanding/tests/daemons/test_permitserver.py
+++ b/godwitlanding/tests/daemons/test_permitserver.py
@@ -1,4 +1,4 @@
-"""A take-over of an arbiter, without the network and with a whole zone."""
+"""Tests the take-over of an arbiter, alone and in a simulated zone."""
 
 import pytest
 
@@ -11,7 +11,9 @@
     PassOn,
 )
 from godwitlanding.daemons.borrower import BorrowedUpstream
-from godwitlanding.tests.daemons.zone_processes import make_desk as make_zone_desk
+from godwitlanding.tests.daemons.zone_processes import (
+    make_desk as make_zone_server,
+)
 from godwitlanding.tests.daemons.zone_world import World
 
 HOLDER = Holder("vm1", "vm1-entry-1")
@@ -19,8 +21,8 @@
 BLOCK_S = 2.0
 
 
-def make_desk(asks, blocked_s=BLOCK_S):
-    server = make_zone_desk("b", 7)
+def make_permit_server(asks, blocked_s=BLOCK_S):
+    server = make_zone_server("b", 7)
     server.set_addresses({"u1": "10.0.0.1:1"})
     server.active = True
     server.add_borrowed(BorrowedUpstream("u1", 99.0, True, blocked_s, asks), 1, 0.0)
@@ -28,7 +30,7 @@
 
 
 def is_granted(server, now):
-    """Tell whether a request at ``now`` gets the one slot at once."""
+    """Tell whether a request at ``now`` gets the only slot at once."""
     answers = []
     message = Acquire("status", str(now), "caller", 1, 10.0)
     server.tick(now)
@@ -48,31 +50,31 @@
     ],
 )
 def test_new_arbiter_waits_for_the_open_permits(asks, answered, now, granted):
-    """An arbiter dies with permits open and another takes its place.
+    """An arbiter crashes with open permits and another takes over.
 
-    Granting before it knows them would run two requests on one slot.
+    If it granted before it knows them, two requests would run on one slot.
     """
-    server = make_desk(asks)
+    server = make_permit_server(asks)
     for holder in answered:
         server.add_held_permits(holder, ("u1",), Held(), 0.1)
     assert is_granted(server, now) is granted
 
 
 def test_permit_of_the_former_arbiter_occupies_its_slot():
-    """A holder reports a permit that is open for another second."""
+    """A holder reports a permit that is valid for another second."""
     held = Held((HeldPermit(5, "u1", 1.0),))
     for now, granted in ((1.4, False), (1.6, True)):
-        server = make_desk((HOLDER,))
+        server = make_permit_server((HOLDER,))
         server.add_held_permits(HOLDER, ("u1",), held, 0.5)
         assert is_granted(server, now) is granted
 
 
 def test_block_outlasts_a_renewed_loan():
-    """The loan lapses and comes again while holders have still to answer.
+    """A loan expires and is renewed before all holders have reported.
 
-    A second gain that counted as known would end the wait too early.
+    If the renewal ended the block, slots of open permits would be granted.
     """
-    server = make_desk((HOLDER, OTHER))
+    server = make_permit_server((HOLDER, OTHER))
     server.stop_granting(["u1"])
     server.add_borrowed(BorrowedUpstream("u1", 99.0, True), 1, 1.0)
     assert not is_granted(server, 1.9)
@@ -129,10 +131,10 @@
     ],
 )
 def test_zone_recovers_from_fault(fault, seed):
-    """A zone in full use loses an arbiter, a holder, a link or every VM.
+    """A fully loaded zone loses an arbiter, a holder, a link or all VMs.
 
-    Its upstreams never run more than their slots, and its callers are
-    served by every upstream again.
+    Its upstreams must never run more requests than slots, and every
+    upstream must serve callers again.
     """
     world = World(seed=seed)
     world.finish_share = 0.02
@@ -148,12 +150,12 @@
 
 
 def test_spill_is_valid_for_the_remaining_time():
-    """A zone without usable upstreams passes a request on.
+    """A zone without usable upstreams spills a request.
 
-    With no time given, the other zone's answer was never waited for: the
-    request ran there and its caller was told that it had timed out.
+    Without a validity in the message, the response of the other zone was
+    not awaited: the request ran there and its caller got a timeout.
     """
-    server = make_zone_desk("a", 7)
+    server = make_zone_server("a", 7)
     server.arbiter.set_allowances({"b": 1}, 10.0)
     answers = []
     message = Acquire("status", "r1", "caller", 1, remaining_s=2.5)
--- a/godwitlanding/tests/daemons/test_region.py
+++ b/godwitlanding/tests/daemons/test_region.py
@@ -1,4 +1,4 @@
-"""A whole region fails and comes back, with real processes."""
+"""Tests the failure and recovery of a region with real processes."""
 
 from godwitlanding.tests.load.load import Load, Rate
 from godwitlanding.tests.test_docs import ROOT
@@ -11,11 +11,11 @@
 
 
 async def test_lost_region_leaves_the_other_serving(tmp_path):
-    """Power fails in a region: its entry VMs and its upstreams are gone.
+    """A region loses power, with its entry VMs and its upstreams.
 
-    Its callers go where they are told next and are served by the other
-    region, whose slots are never passed; what had been running there is not
-    run again. The region comes back and is served again.
+    Its callers must be directed to and served by the other region, without
+    exceeding that region's slots. Work that was running in the failed
+    region must not run again. After its recovery the region serves again.
     """
     text = (ROOT / "samples/demo.json5").read_text()
     cluster = Cluster(
--- a/godwitlanding/tests/daemons/test_trace.py
+++ b/godwitlanding/tests/daemons/test_trace.py
@@ -1,4 +1,4 @@
-"""An operator can ask what became of a request."""
+"""Tests the recorded events of requests and their page."""
 
 import aiohttp
 
--- a/godwitlanding/tests/daemons/test_versions.py
+++ b/godwitlanding/tests/daemons/test_versions.py
@@ -1,4 +1,4 @@
-"""Versions in heartbeats: bounded, and none left out for long."""
+"""Tests that heartbeats have few versions and rotate through all."""
 
 import pytest
 
@@ -14,10 +14,10 @@
 
 @pytest.mark.parametrize("count", [0, 1, 2, 3, 4, 50, 1000])
 def test_every_object_is_listed_in_turn(count):
-    """A push of a piece to one member is lost.
+    """The push of a piece to one member is lost.
 
-    The member finds it by the versions in heartbeats; a piece that is never
-    told would leave its callers in another zone for good.
+    The member detects it by the versions in heartbeats. If a piece were
+    never listed, its callers would be directed to a wrong zone permanently.
     """
     states = FEW + make_blocks(count)
     listed = set()
