--- a/godwitlanding/tests/benchmarks/bench_blocks.py
+++ b/godwitlanding/tests/benchmarks/bench_blocks.py
@@ -40,7 +40,7 @@
     read_cost,
 )
 from godwitlanding.tests.benchmarks.sizes import LETTER, make_block_objects, make_piece
-from godwitlanding.tests.standins.peers import ZoneStandIn
+from godwitlanding.tests.standins.peers import StandinZoneDaemon
 
 ADDRESS = "127.0.50.1"
 HTTP_PORT = 17201
@@ -170,7 +170,9 @@
         Route("/stream", get_stream),
     ]
     server = HttpServer("http", Starlette(routes=routes), ADDRESS, HTTP_PORT)
-    stand_in = ZoneStandIn(State(BLOCKS_KIND, n, 1, b) for n, b in objects.items())
+    stand_in = StandinZoneDaemon(
+        State(BLOCKS_KIND, n, 1, b) for n, b in objects.items()
+    )
     await server.start(None)
     await stand_in.server.start(ADDRESS, ZONE_PORT)
     rows = [await _run_load(way) for way in WAYS]
--- a/godwitlanding/tests/benchmarks/bench_control.py
+++ b/godwitlanding/tests/benchmarks/bench_control.py
@@ -36,7 +36,7 @@
     make_summary,
     make_vms,
 )
-from godwitlanding.tests.standins.peers import Peer, ZoneStandIn
+from godwitlanding.tests.standins.peers import StandinPeer, StandinZoneDaemon
 
 ADDRESS = "127.0.50.1"
 PLATFORM = "127.0.51.250"
@@ -162,7 +162,7 @@
 async def measure_fed(role, size):
     """Return rows of rest and of pushes for ``steer`` or ``entry``."""
     states = make_states(size, size.get_zones()[0], with_blocks=role == "steer")
-    stand_in = ZoneStandIn(states)
+    stand_in = StandinZoneDaemon(states)
     await stand_in.server.start(ADDRESS, ZONE_PORT)
     push_rows = []
     async with run_daemon(role, make_settings(size, role)) as pid:
@@ -195,7 +195,7 @@
     names = [vm for vm, _ in size.get_vms(zone)]
     rows = [(vm, f"127.0.50.{n}", zone) for n, vm in enumerate(names, 1)]
     dials = f"{ADDRESS}:{ZONE_PORT}"
-    peers = [Peer(*row, ZONE_PORT, dials) for row in rows[1:]]
+    peers = [StandinPeer(*row, ZONE_PORT, dials) for row in rows[1:]]
     url = f"http://{PLATFORM}:{PLATFORM_PORT}"
     arguments = ("--host", PLATFORM, "--port", str(PLATFORM_PORT))
     with run_process("godwitlanding.tests.standins.standin_platform", *arguments):
--- a/godwitlanding/tests/benchmarks/bench_steer.py
+++ b/godwitlanding/tests/benchmarks/bench_steer.py
@@ -36,7 +36,7 @@
     write_settings,
 )
 from godwitlanding.tests.benchmarks.sizes import LETTER, TODAY, make_states
-from godwitlanding.tests.standins.peers import ZoneStandIn
+from godwitlanding.tests.standins.peers import StandinZoneDaemon
 
 ADDRESS = "127.0.50.1"
 PORT = 17101
@@ -87,7 +87,7 @@
 async def measure_daemon(size, seconds):
     """Return a row for the daemon with the state of a size."""
     zone = size.get_zones()[0]
-    stand_in = ZoneStandIn(make_states(size, zone))
+    stand_in = StandinZoneDaemon(make_states(size, zone))
     await stand_in.server.start(ADDRESS, ZONE_PORT)
     with write_settings(make_settings(size)) as path:
         with run_process("godwitlanding.steer", "--settings", path) as process:
--- a/godwitlanding/tests/gateway/test_platform_store.py
+++ b/godwitlanding/tests/gateway/test_platform_store.py
@@ -152,7 +152,7 @@
     copy = standin.take_copy()
     await standin.put(KIND, "a", {"x": 1})
     lost = (await store.get(KIND, "a")).unwrap().version
-    await standin.come_back(copy)
+    await standin.restore_copy(copy)
     snapshot = (await store.snapshot(KIND)).unwrap()
     assert lost < snapshot.objects[0].version <= snapshot.version
     written = (await store.put(KIND, "a", b'{"x":2}', snapshot.objects[0].version)).ok()
@@ -171,7 +171,7 @@
     copy = standin.take_copy()
     await standin.put(KIND, "lost", {})
     watched_from = (await store.snapshot(KIND)).unwrap().version
-    await standin.come_back(copy)
+    await standin.restore_copy(copy)
     for number in range(since):
         await standin.put(KIND, f"n{number}", {})
     if is_known:
@@ -185,7 +185,7 @@
     # The restored store has reused the revision for another process's write.
     copy = standin.take_copy()
     version = (await store.put(KIND, "a", b'{"own":1}', 0)).unwrap()
-    await standin.come_back(copy)
+    await standin.restore_copy(copy)
     await standin.put(KIND, "a", {"foreign": 1})
     assert (await store.get(KIND, "a")).unwrap().version != version
     if operation == "put":
@@ -202,6 +202,6 @@
     writing = asyncio.create_task(store.put(KIND, "a", b"{}", 0))
     await asyncio.sleep(0.1)
     standin.faults.delay_answer_s = 0.0
-    await standin.come_back(copy)
+    await standin.restore_copy(copy)
     await store.snapshot(KIND)
     assert (await writing).unwrap_err().code is Code.PLATFORM_UNAVAILABLE
--- a/godwitlanding/tests/gateway/test_store_restored.py
+++ b/godwitlanding/tests/gateway/test_store_restored.py
@@ -34,7 +34,7 @@
     """Make the store unreachable for ``OUTAGE_S``, then restore ``copy``."""
     store.faults.status = 503
     await asyncio.sleep(OUTAGE_S)
-    await store.come_back(copy)
+    await store.restore_copy(copy)
     store.faults.status = 0
 
 
@@ -90,7 +90,7 @@
         await world.register(leaving, "draining")
         await world.register(leaving)
         world.store.old_copy = world.store.take_copy()
-        await world.store.come_back(copy)
+        await world.store.restore_copy(copy)
         await world.start()
         await world.register(leaving, "draining")
         await asyncio.sleep(CONFIG_S)
--- a/godwitlanding/tests/gateway/test_whole_path.py
+++ b/godwitlanding/tests/gateway/test_whole_path.py
@@ -397,7 +397,7 @@
     for number in (3, 4, 5):
         workers.append(await world.add_worker(f"look-{number}", "looks", "a1"))
     for worker in workers:
-        worker.deadly_path = "/look/deadly"
+        worker.crash_path = "/look/deadly"
     await asyncio.sleep(0.5)
     for vm in (*world.vms, *world.vms):
         response, _ = await world.ask(vm, "/look/deadly")
--- a/godwitlanding/tests/load/callers.py
+++ b/godwitlanding/tests/load/callers.py
@@ -14,7 +14,7 @@
 
 from godwitlanding.base.httpclient import make_session
 from godwitlanding.tests.load.tally import Final
-from godwitlanding.tests.standins.bodies import is_whole, make_bundle
+from godwitlanding.tests.standins.bodies import is_intact, make_bundle
 
 MAX_TRIES = 6
 PRESS_AGAIN_S = 0.3
@@ -66,7 +66,7 @@
         """Make a look-up; note how it ended."""
         path = f"/x?id={request_id}{query}"
 
-        await self._try_choices(service, request_id, path, is_whole)
+        await self._try_choices(service, request_id, path, is_intact)
 
     async def download(self, service, request_id, chunk_ms=0, size=BUNDLE_BYTES):
         """Fetch a bundle; note how it ended."""
@@ -99,7 +99,9 @@
                 break
             self._note_lost(service, url, latest)
             await asyncio.sleep(PRESS_AGAIN_S * (number + 1))
-        tally.end(service, _judge(reply, request_id, is_whole, True), began, request_id)
+        tally.end(
+            service, _judge(reply, request_id, is_intact, True), began, request_id
+        )
 
     async def _try_choices(self, service, request_id, path, check):
         began = asyncio.get_running_loop().time()
--- a/godwitlanding/tests/soak/judge.py
+++ b/godwitlanding/tests/soak/checker.py
@@ -2,8 +2,8 @@
 
 from godwitlanding.decisions.allotment import Tolerance
 from godwitlanding.tests.soak.caller import DEADLINE_S
+from godwitlanding.tests.soak.faultinjector import PAUSE_S, UPSTREAM_LIMIT_PER_S
 from godwitlanding.tests.soak.schedule import PLANNED_KINDS
-from godwitlanding.tests.soak.strike import PAUSE_S, UPSTREAM_LIMIT_PER_S
 from godwitlanding.tests.soak.world import LIMIT_BURST, LIMIT_PER_S
 from godwitlanding.tests.standins.standin_worker import make_echo
 
--- a/godwitlanding/tests/soak/strike.py
+++ b/godwitlanding/tests/soak/faultinjector.py
@@ -192,10 +192,10 @@
         await asyncio.sleep(copy_age_s)
         store.faults.status = 503
         await asyncio.sleep(AWAY_S)
-        await store.come_back(copy)
+        await store.restore_copy(copy)
         store.faults.status = 0
         await asyncio.sleep(WRITTEN_AGAIN_S)
-        await store.write_again()
+        await store.rewrite_changed()
 
     async def _strike_store_link(self, fault):
         await self._strike_link(self._world.store_links, fault)
--- a/godwitlanding/tests/soak/run.py
+++ b/godwitlanding/tests/soak/run.py
@@ -23,9 +23,9 @@
 import aiohttp
 
 from godwitlanding.tests.soak.caller import Caller
-from godwitlanding.tests.soak.judge import Judge
+from godwitlanding.tests.soak.checker import Judge
+from godwitlanding.tests.soak.faultinjector import Striker
 from godwitlanding.tests.soak.schedule import FAULTS_S, draw_faults
-from godwitlanding.tests.soak.strike import Striker
 from godwitlanding.tests.soak.world import KEY_BY_WORKSPACE, SoakWorld
 
 CALLERS = 10
--- a/godwitlanding/tests/soak/test_soak.py
+++ b/godwitlanding/tests/soak/test_soak.py
@@ -6,9 +6,9 @@
 import pytest
 
 from godwitlanding.tests.soak.caller import Tried
-from godwitlanding.tests.soak.judge import DRAIN_S, EVACUATE_S, SLACK_S, Judge
-from godwitlanding.tests.soak.kept import KEPT
+from godwitlanding.tests.soak.checker import DRAIN_S, EVACUATE_S, SLACK_S, Judge
 from godwitlanding.tests.soak.link import Link
+from godwitlanding.tests.soak.regressions import KEPT
 from godwitlanding.tests.soak.run import format_report, run_faults
 from godwitlanding.tests.soak.schedule import FAULTS_S, Fault, draw_faults
 from godwitlanding.tests.standins.standin_worker import make_echo
--- a/godwitlanding/tests/standins/bodies.py
+++ b/godwitlanding/tests/standins/bodies.py
@@ -23,7 +23,7 @@
     return json.dumps(value).encode()
 
 
-def is_whole(body, request_id):
+def is_intact(body, request_id):
     """Tell whether ``body`` is all of the answer to ``request_id``."""
     try:
         value = json.loads(body)
--- a/godwitlanding/tests/standins/licensed.py
+++ b/godwitlanding/tests/standins/licensed.py
@@ -10,8 +10,8 @@
 
 from godwitlanding.tests.standins.bodies import make_body, make_bundle, make_etag
 from godwitlanding.tests.standins.listener import Listener, reset
-from godwitlanding.tests.standins.switches import Switches
-from godwitlanding.tests.standins.work import (
+from godwitlanding.tests.standins.upstreamfaults import Switches
+from godwitlanding.tests.standins.workrequest import (
     Cut,
     Expired,
     Work,
--- a/godwitlanding/tests/standins/peers.py
+++ b/godwitlanding/tests/standins/peers.py
@@ -16,7 +16,7 @@
 HEARTBEAT_S = 0.3
 
 
-class ZoneStandIn:
+class StandinZoneDaemon:
     """A zone daemon that only pushes states to whoever subscribes."""
 
     def __init__(self, states, vm="vm", zone="zone"):
@@ -47,7 +47,7 @@
         return found[-1] if found else None
 
 
-class Peer:
+class StandinPeer:
     """Another member of the zone that only sends and takes heartbeats."""
 
     def __init__(self, vm, address, zone, port, dials):
--- a/godwitlanding/tests/standins/standin_store.py
+++ b/godwitlanding/tests/standins/standin_store.py
@@ -93,7 +93,7 @@
         kinds = self._object_by_name_by_kind.items()
         return StoreCopy(self.revision, {kind: dict(held) for kind, held in kinds})
 
-    async def come_back(self, copy):
+    async def restore_copy(self, copy):
         """Lose all that was written since ``copy`` was taken; cut watches."""
         self.era += 1
         self.revision = copy.revision
@@ -103,7 +103,7 @@
         async with self._changed:
             self._changed.notify_all()
 
-    async def write_again(self):
+    async def rewrite_changed(self):
         """Write what the operator and the upstreams wrote and find changed."""
         for (kind, name), spec in list(self._spec_by_key.items()):
             if spec == self.get_spec(kind, name):
--- a/godwitlanding/tests/standins/standin_worker.py
+++ b/godwitlanding/tests/standins/standin_worker.py
@@ -51,7 +51,7 @@
         # Milliseconds that each request's sender would wait, as it said.
         self.deadlines_ms = []
         # A path that ends this upstream as soon as it begins to run it.
-        self.deadly_path = ""
+        self.crash_path = ""
         # Whether answers hold the request's id, many times.
         self.echoes = False
         self.bodies = {}
@@ -136,7 +136,7 @@
                 self.headers_by_request[request_id.decode()] = headers
                 left = headers.get(b"godwitlanding-deadline-ms", b"0")
                 self.deadlines_ms.append(int(left))
-                if self.deadly_path and self._path == self.deadly_path:
+                if self.crash_path and self._path == self.crash_path:
                     self.stop()
                     raise ConnectionError("crashed by the request")
                 await self._work(reader)
--- a/godwitlanding/tests/standins/standins.py
+++ b/godwitlanding/tests/standins/standinclient.py
@@ -7,7 +7,7 @@
 _CALL_TIMEOUT_S = 5.0
 
 
-class Standins:
+class StandinClient:
     """Speaks to the stand-ins of one cluster at their control address."""
 
     def __init__(self, host):
--- a/godwitlanding/tests/standins/test_standin_upstream.py
+++ b/godwitlanding/tests/standins/test_standin_upstream.py
@@ -8,7 +8,7 @@
 
 from godwitlanding.base.config import Upstream
 from godwitlanding.base.httpclient import make_session
-from godwitlanding.tests.standins.bodies import is_whole, make_bundle
+from godwitlanding.tests.standins.bodies import is_intact, make_bundle
 from godwitlanding.tests.standins.licensed import Executions, LicensedUpstream
 from godwitlanding.tests.standins.listener import Listener, reset
 from godwitlanding.tests.tools.network import find_free_port
@@ -54,9 +54,9 @@
 async def test_answer_is_whole_and_its_own(bench):
     status, _, body = await bench.get("/x?id=r1")
     assert status == 200
-    assert is_whole(body, "r1")
-    assert not is_whole(body, "r2")
-    assert not is_whole(body[:-5], "r1")
+    assert is_intact(body, "r1")
+    assert not is_intact(body, "r2")
+    assert not is_intact(body[:-5], "r1")
 
 
 async def test_excess_over_the_slots_is_counted(bench):
--- a/godwitlanding/tests/tools/cluster.py
+++ b/godwitlanding/tests/tools/cluster.py
@@ -17,10 +17,10 @@
 from typing import NamedTuple
 
 from godwitlanding.base.config import parse_config
-from godwitlanding.tests.standins.standins import (
+from godwitlanding.tests.standins.standinclient import (
     CONTROL_PORT,
     PLATFORM_PORT,
-    Standins,
+    StandinClient,
 )
 from godwitlanding.tests.tools.network import DEMO_NETWORK
 from godwitlanding.tests.tools.processes import Processes, run_command
@@ -67,7 +67,7 @@
     ):
         self.text = network.move_upstreams(text)
         self.config = parse_config(self.text).unwrap()
-        self.standins = Standins(network.control)
+        self.standins = StandinClient(network.control)
         self.vm_by_name = {}
         self.killed = set()
         self._network = network
