--- a/godwitlanding/tests/soak/__init__.py
+++ b/godwitlanding/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of real programs under drawn faults, and what keeps its seeds."""
+"""Soak test of real VM processes under random faults, and its regressions."""
--- a/godwitlanding/tests/soak/checker.py
+++ b/godwitlanding/tests/soak/checker.py
@@ -1,4 +1,4 @@
-"""What must hold of every run, from what callers and upstreams saw."""
+"""Checks the promises of the system against what a soak run recorded."""
 
 from godwitlanding.decisions.allotment import Tolerance
 from godwitlanding.tests.soak.caller import DEADLINE_S
@@ -7,36 +7,39 @@
 from godwitlanding.tests.soak.world import LIMIT_BURST, LIMIT_PER_S
 from godwitlanding.tests.standins.standin_worker import make_echo
 
-# The bounds of the users' rules, and what a busy machine adds.
+# Time limits from the users' rules, and an allowance for a busy machine.
 DRAIN_S = 2.5
 EVACUATE_S = 5.0
-STABLE_S = 4.0
+RECOVERY_S = 4.0
 SLACK_S = 0.7
-# Of upstreams that name a limit: from the first time on, in any window.
+# For upstreams that report a limit: it holds in any window that begins
+# RECOVERY_S or more after the first report.
 LIMIT_WINDOW_S = 4.0
-LIMIT_ALLOWED = 1.5 * UPSTREAM_LIMIT_PER_S * LIMIT_WINDOW_S + 5
-# Of those that turn a request away with a pause.
-PAUSE_BEGINS_S = 0.5
-MOST_IN_PAUSE = 2
-SIGNS_OF_A_CRASH = ("Traceback", '"carrier:failed"', '"task:failed"')
-PROMISES_NOT_RUN = frozenset((408, 421, 429, 503))
-# The one workspace that has a limit.
-LIMITED = "small"
+MAX_REQUESTS_IN_LIMIT_WINDOW = 1.5 * UPSTREAM_LIMIT_PER_S * LIMIT_WINDOW_S + 5
+# For upstreams that reject a request with Retry-After.
+PAUSE_DELAY_S = 0.5
+MAX_REQUESTS_IN_PAUSE = 2
+CRASH_MARKERS = ("Traceback", '"carrier:failed"', '"task:failed"')
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+# The only workspace with a rate limit.
+LIMITED_WORKSPACE = "small"
 TOLERANCE = Tolerance()
 SERVICE_BY_ROUTE = {"look": "looks", "pay": "pays"}
-# Faults that leave a VM's own duties as they are.
-HARMLESS = frozenset((*PLANNED_KINDS, "shed", "fail", "slow", "limit", "pause_asked"))
+# Faults that excuse no violation by a VM.
+HARMLESS_KINDS = frozenset(
+    (*PLANNED_KINDS, "shed", "fail", "slow", "limit", "pause_asked")
+)
 
 
-class Judge:
-    """Joins callers' records with the upstreams' runs of one world."""
+class Checker:
+    """Compares the callers' records with the upstreams' records of runs."""
 
-    def __init__(self, tried, world, striker):
-        self._tried = tried
-        self._striker = striker
+    def __init__(self, records, world, injector):
+        self._records = records
+        self._injector = injector
         self._vms = world.vms
         self._workers = world.get_all_workers()
-        self._tried_by_request = {row.request_id: row for row in tried}
+        self._record_by_request = {row.request_id: row for row in records}
         self._runs_by_request = {}
         for worker in self._workers:
             for request_id, at in zip(worker.ran, worker.ran_at):
@@ -44,51 +47,59 @@
                 row.append((worker, at))
 
     def find_problems(self):
-        """Return a line for each promise that was not kept."""
-        problems = list(self._striker.problems)
-        for tried in self._tried:
-            problems.extend(self._judge_answer(tried))
-        problems.extend(self._judge_runs())
-        problems.extend(self._judge_workspaces())
-        problems.extend(self._judge_allotments())
-        problems.extend(self._judge_drains())
-        problems.extend(self._judge_evacuations())
-        problems.extend(self._judge_leaves())
-        problems.extend(self._judge_limits())
-        problems.extend(self._judge_pauses())
-        problems.extend(self._judge_logs())
+        """Return a line for each violation of a promise."""
+        problems = list(self._injector.problems)
+        for record in self._records:
+            problems.extend(self._check_response(record))
+        problems.extend(self._check_runs())
+        problems.extend(self._check_workspaces())
+        problems.extend(self._check_allotments())
+        problems.extend(self._check_drains())
+        problems.extend(self._check_evacuations())
+        problems.extend(self._check_leaves())
+        problems.extend(self._check_limits())
+        problems.extend(self._check_pauses())
+        problems.extend(self._check_logs())
         return problems
 
-    def _judge_answer(self, tried):
-        runs = self._runs_by_request.get(tried.request_id, [])
-        if tried.status == 200:
-            if tried.body != make_echo(tried.request_id.encode()):
-                yield f"MIXED {tried.request_id}: not its own whole answer"
+    def _check_response(self, record):
+        runs = self._runs_by_request.get(record.request_id, [])
+        if record.status == 200:
+            if record.body != make_echo(record.request_id.encode()):
+                yield f"MIXED {record.request_id}: body is not its complete response"
             if not runs:
-                yield f"MIXED {tried.request_id}: answered and never run"
-        if tried.detail == "foreign":
-            yield f"MIXED {tried.request_id}: another request's answer"
-        if tried.unsafe and tried.status in PROMISES_NOT_RUN and runs:
-            yield f"REFUSED {tried.request_id}: {tried.status} and has run"
-        if tried.status in (429, 503) and not tried.retry_after:
-            status = tried.status
-            yield f"REFUSED {tried.request_id}: {status} without when to come back"
-        if tried.status == 429 and tried.workspace != LIMITED:
-            yield f"DENIED {tried.request_id}: 429 without a limit"
-        if tried.status in (400, 401, 404):
-            yield f"DENIED {tried.request_id}: {tried.status} for {tried.path}"
-        if tried.detail == "silent" and self._is_calm(tried.sent_at, tried.ended_at):
-            yield f"HELD {tried.request_id}: no answer {DEADLINE_S} s and more"
-        if tried.detail in ("closed", "broken") and runs:
-            if self._is_calm(tried.sent_at, tried.ended_at, PLANNED_KINDS):
+                yield f"MIXED {record.request_id}: has a response but never ran"
+        if record.detail == "foreign":
+            yield f"MIXED {record.request_id}: got the response of another request"
+        if record.unsafe and record.status in NOT_RUN_STATUSES and runs:
+            yield f"REFUSED {record.request_id}: {record.status}, but it has run"
+        if record.status in (429, 503) and not record.retry_after:
+            status = record.status
+            yield f"REFUSED {record.request_id}: {status} without Retry-After"
+        if record.status == 429 and record.workspace != LIMITED_WORKSPACE:
+            yield (
+                f"DENIED {record.request_id}: 429 for workspace "
+                f"{record.workspace}, which has no limit"
+            )
+        if record.status in (400, 401, 404):
+            yield f"DENIED {record.request_id}: {record.status} for {record.path}"
+        if record.detail == "silent" and self._is_undisturbed(
+            record.sent_at, record.ended_at
+        ):
+            yield (
+                f"HELD {record.request_id}: no response within the deadline "
+                f"of {DEADLINE_S} s and the extra wait"
+            )
+        if record.detail in ("closed", "broken") and runs:
+            if self._is_undisturbed(record.sent_at, record.ended_at, PLANNED_KINDS):
                 yield (
-                    f"LOST {tried.request_id}: {tried.detail} by {tried.vm}, "
-                    f"which had passed it on"
+                    f"LOST {record.request_id}: {record.detail} by {record.vm}, "
+                    f"which had forwarded it"
                 )
 
-    def _judge_runs(self):
-        unsafe = {tried.request_id for tried in self._tried if tried.unsafe}
-        path_by_request = {tried.request_id: tried.path for tried in self._tried}
+    def _check_runs(self):
+        unsafe = {record.request_id for record in self._records if record.unsafe}
+        path_by_request = {record.request_id: record.path for record in self._records}
         for request_id, runs in self._runs_by_request.items():
             if request_id in unsafe and len(runs) > 1:
                 yield f"TWICE {request_id}: run {len(runs)} times"
@@ -97,22 +108,24 @@
                 if path and worker.service != SERVICE_BY_ROUTE[path.split("/")[1]]:
                     yield f"ROUTE {request_id}: {path} run by {worker.service}"
 
-    def _judge_workspaces(self):
-        """An upstream hears whose request it is from nobody but a VM."""
-        workspace_by_request = {t.request_id: t.workspace for t in self._tried}
+    def _check_workspaces(self):
+        """Check that VMs set the tenant header and forward no API key."""
+        workspace_by_request = {t.request_id: t.workspace for t in self._records}
         for worker in self._workers:
             for request_id, headers in worker.headers_by_request.items():
                 owner = workspace_by_request.get(request_id)
-                named = headers.get(b"godwitlanding-tenant", b"").decode()
-                if owner and named != owner:
-                    yield f"UNASKED {request_id}: of {owner}, run for {named!r}"
+                tenant = headers.get(b"godwitlanding-tenant", b"").decode()
+                if owner and tenant != owner:
+                    yield f"UNASKED {request_id}: workspace {owner}, run for {tenant!r}"
                 if b"authorization" in headers:
-                    yield f"UNASKED {request_id}: its key was passed on"
+                    yield f"UNASKED {request_id}: its API key was forwarded"
 
-    def _judge_allotments(self):
-        """No window has more runs of a workspace than it may have."""
-        limited = {t.request_id for t in self._tried if t.workspace == LIMITED}
-        times = sorted(
+    def _check_allotments(self):
+        """Check that no window has more runs than the workspace's limit."""
+        limited = {
+            t.request_id for t in self._records if t.workspace == LIMITED_WORKSPACE
+        }
+        run_times = sorted(
             at
             for request_id, runs in self._runs_by_request.items()
             if request_id in limited
@@ -121,105 +134,123 @@
         window_s = TOLERANCE.window_s
         allowed = LIMIT_PER_S * window_s + LIMIT_BURST
         allowed += TOLERANCE.over_share * allowed + TOLERANCE.over_requests
-        for index, at in enumerate(times):
-            runs = sum(1 for other in times[index:] if other <= at + window_s)
+        for index, at in enumerate(run_times):
+            runs = sum(1 for other in run_times[index:] if other <= at + window_s)
             if runs > allowed:
                 yield f"QUOTA {runs} runs in {window_s} s, {allowed:.0f} allowed"
                 return
 
-    def _judge_drains(self):
+    def _check_drains(self):
         for worker in self._workers:
-            drained_at = self._striker.drained_at_by_worker.get(worker.id)
+            drained_at = self._injector.drained_at_by_worker.get(worker.id)
             if drained_at is None:
                 continue
             for request_id, at in zip(worker.ran, worker.ran_at):
-                if at > drained_at + DRAIN_S + SLACK_S and self._is_calm(
+                if at > drained_at + DRAIN_S + SLACK_S and self._is_undisturbed(
                     drained_at, at
                 ):
                     late_s = at - drained_at
                     yield f"DRAIN {request_id}: {worker.id} after {late_s:.1f} s"
 
-    def _judge_leaves(self):
-        """What an upstream answered binds the VM that passed it on."""
+    def _check_leaves(self):
+        """Check requests sent to an upstream that has reported that it leaves.
+
+        A VM must stop sending within ``DRAIN_S`` after it has received a
+        response that reports it.
+        """
         for worker in self._workers:
-            left_at = self._striker.left_at_by_worker.get(worker.id)
-            if left_at is None:
+            announced_at = self._injector.leave_announced_at_by_worker.get(worker.id)
+            if announced_at is None:
                 continue
-            told_at_by_vm = {}
+            informed_at_by_vm = {}
             for request_id, at in worker.arrivals:
-                tried = self._tried_by_request.get(request_id)
-                if tried is None or at < left_at:
+                record = self._record_by_request.get(request_id)
+                if record is None or at < announced_at:
                     continue
-                told_at = told_at_by_vm.get(tried.vm, tried.ended_at)
-                if tried.status == 200:
-                    told_at_by_vm[tried.vm] = min(told_at, tried.ended_at)
-                if at > told_at + DRAIN_S and self._runs_on(tried.vm, told_at, at):
+                informed_at = informed_at_by_vm.get(record.vm, record.ended_at)
+                if record.status == 200:
+                    informed_at_by_vm[record.vm] = min(informed_at, record.ended_at)
+                if at > informed_at + DRAIN_S and self._was_running(
+                    record.vm, informed_at, at
+                ):
                     yield (
-                        f"DRAIN {request_id}: {worker.id} {at - told_at:.1f} s "
-                        f"after it had told {tried.vm}"
+                        f"DRAIN {request_id}: {worker.id} {at - informed_at:.1f} s "
+                        f"after it had reported to {record.vm} that it leaves"
                     )
 
-    def _judge_limits(self):
-        for worker, begun, ended in self._striker.limited:
-            first = begun + STABLE_S
-            times = [at for at in worker.arrived_at if first <= at < ended]
-            for at in times:
-                window = [t for t in times if at <= t < at + LIMIT_WINDOW_S]
-                if len(window) > LIMIT_ALLOWED and self._is_calm(begun, window[-1]):
+    def _check_limits(self):
+        for worker, start, end in self._injector.limit_periods:
+            first_window_at = start + RECOVERY_S
+            run_times = [at for at in worker.arrived_at if first_window_at <= at < end]
+            for at in run_times:
+                window = [t for t in run_times if at <= t < at + LIMIT_WINDOW_S]
+                if len(window) > MAX_REQUESTS_IN_LIMIT_WINDOW and self._is_undisturbed(
+                    start, window[-1]
+                ):
                     yield (
                         f"LIMIT {worker.id}: {len(window)} requests in "
-                        f"{LIMIT_WINDOW_S} s, {LIMIT_ALLOWED:.0f} allowed"
+                        f"{LIMIT_WINDOW_S} s, "
+                        f"{MAX_REQUESTS_IN_LIMIT_WINDOW:.0f} allowed"
                     )
                     break
 
-    def _judge_pauses(self):
+    def _check_pauses(self):
         for worker in self._workers:
-            for request_id, asked_at in worker.paused:
-                tried = self._tried_by_request.get(request_id)
-                if tried is None:
+            for request_id, paused_at in worker.paused:
+                record = self._record_by_request.get(request_id)
+                if record is None:
                     continue
                 late = [
                     at
                     for other, at in worker.arrivals
-                    if asked_at + PAUSE_BEGINS_S < at < asked_at + PAUSE_S
-                    and other in self._tried_by_request
-                    and self._tried_by_request[other].vm == tried.vm
+                    if paused_at + PAUSE_DELAY_S < at < paused_at + PAUSE_S
+                    and other in self._record_by_request
+                    and self._record_by_request[other].vm == record.vm
                 ]
-                if len(late) > MOST_IN_PAUSE and self._is_calm(asked_at, late[-1]):
-                    yield f"BUDGET {worker.id}: {len(late)} in a pause, by {tried.vm}"
+                if len(late) > MAX_REQUESTS_IN_PAUSE and self._is_undisturbed(
+                    paused_at, late[-1]
+                ):
+                    yield (
+                        f"BUDGET {worker.id}: {len(late)} requests in a pause, "
+                        f"by {record.vm}"
+                    )
 
-    def _runs_on(self, address, begun, ended):
-        """Tell whether a VM was not stopped, killed or paused meanwhile."""
-        for fault, at, mended in self._striker.log:
-            if fault.family != "vm" or at > ended or (mended or ended) < begun:
+    def _was_running(self, address, start, end):
+        """Tell whether no VM fault affected a VM between two times."""
+        for fault, at, repaired in self._injector.log:
+            if fault.family != "vm" or at > end or (repaired or end) < start:
                 continue
-            struck = self._vms[fault.target % len(self._vms)]
-            if fault.kind == "herd" or struck.address == address:
+            faulted_vm = self._vms[fault.target % len(self._vms)]
+            if fault.kind == "herd" or faulted_vm.address == address:
                 return False
         return True
 
-    def _judge_evacuations(self):
-        for zone, begun, ended in self._striker.evacuations:
+    def _check_evacuations(self):
+        for zone, start, end in self._injector.evacuations:
             for worker in self._workers:
                 if worker.zone != zone:
                     continue
                 for request_id, at in zip(worker.ran, worker.ran_at):
-                    late = begun + EVACUATE_S + SLACK_S < at < ended
-                    if late and self._is_calm(begun, at):
-                        yield f"EVAC {request_id}: {zone} after {at - begun:.1f} s"
+                    late = start + EVACUATE_S + SLACK_S < at < end
+                    if late and self._is_undisturbed(start, at):
+                        yield f"EVAC {request_id}: {zone} after {at - start:.1f} s"
 
-    def _judge_logs(self):
+    def _check_logs(self):
         for vm in self._vms:
             log = vm.read_log()
-            if any(sign in log for sign in SIGNS_OF_A_CRASH):
-                yield f"CRASH {vm.name}: an error that nobody expected"
+            if any(marker in log for marker in CRASH_MARKERS):
+                yield f"CRASH {vm.name}: unexpected error in its log"
+
+    def _is_undisturbed(self, start, end, allowed=HARMLESS_KINDS):
+        """Tell whether there were only ``allowed`` faults between two times.
 
-    def _is_calm(self, begun, ended, allowed=HARMLESS):
-        """Tell whether only allowed faults were near a time."""
-        for fault, at, mended in self._striker.log:
+        A fault counts from ``SLACK_S`` before it begins until ``RECOVERY_S``
+        after its repair.
+        """
+        for fault, at, repaired in self._injector.log:
             if fault.kind in allowed:
                 continue
-            until = (mended if mended is not None else ended) + STABLE_S
-            if at <= ended + SLACK_S and until >= begun:
+            until = (repaired if repaired is not None else end) + RECOVERY_S
+            if at <= end + SLACK_S and until >= start:
                 return False
         return True
--- a/godwitlanding/tests/soak/faultinjector.py
+++ b/godwitlanding/tests/soak/faultinjector.py
@@ -1,33 +1,36 @@
-"""Applies drawn faults to a world, and mends them when their time is over."""
+"""Injects scheduled faults into a ``SoakWorld`` and repairs them."""
 
 import asyncio
 import signal
 
 from godwitlanding.tests.gateway.world import GRACE_S
 
-# An entry lapses after three heartbeats of 1.5 s; shorter here, as it may be.
-LAPSE_S = 1.5
+# Time until the entry of a crashed upstream is removed. An entry expires after
+# three heartbeats of 1.5 s; it may be removed earlier, as here.
+ENTRY_EXPIRY_S = 1.5
 DRAIN_S = 3.0
 SLOW_S = 0.6
 DELAY_S = 0.4
 STORE_DELAY_S = 0.7
-# A store that comes back from an older copy is away for so long, and what the
-# operator and the upstreams wrote is written again so much later.
-AWAY_S = 0.5
-WRITTEN_AGAIN_S = 1.0
-# An upstream in need takes this from all VMs, for so much longer than drawn.
+# A store that is restored from an older copy is down for OUTAGE_S. The
+# operator and the upstreams write their objects again REWRITE_DELAY_S later.
+OUTAGE_S = 0.5
+REWRITE_DELAY_S = 1.0
+# Requests per second that an overloaded upstream accepts from all VMs, and by
+# how much longer than drawn it does so.
 UPSTREAM_LIMIT_PER_S = 1.5
-LIMIT_MORE_S = 6.0
+LIMIT_EXTRA_S = 6.0
 PAUSE_S = 1.5
-# It serves on for a while after it has told that it leaves.
+# An upstream that reports that it leaves keeps serving for this long.
 LEAVE_S = 5.0
 
 
-class Striker:
-    """Strikes a ``SoakWorld``; ``log`` holds what happened and when.
+class FaultInjector:
+    """Injects faults into a ``SoakWorld`` and records them in ``log``.
 
-    Each row is a fault, when it began and when it was mended, on the loop's
-    clock; planned work is logged with when the store acknowledged it.
+    Each row of ``log`` is a fault, its start and its repair (``None`` until
+    then). Drains and evacuations are also recorded with the time at which the
+    store acknowledged them. All times are on the loop's clock.
     """
 
     def __init__(self, world):
@@ -36,22 +39,22 @@
         self._loop = asyncio.get_running_loop()
         self.log = []
         self.drained_at_by_worker = {}
-        # When an upstream began to say so, and stopped.
-        self.limited = []
-        self.left_at_by_worker = {}
+        # Rows of upstream, start and end of the time with a reported limit.
+        self.limit_periods = []
+        self.leave_announced_at_by_worker = {}
         self.evacuations = []
         self.stopped = []
         self.problems = []
 
-    async def strike(self, fault):
-        """Apply one fault and mend it."""
-        begun = self._loop.time()
-        row = [fault, begun, None]
+    async def inject(self, fault):
+        """Inject one fault and repair it when its time is over."""
+        started_at = self._loop.time()
+        row = [fault, started_at, None]
         self.log.append(row)
-        await getattr(self, f"_strike_{fault.family}")(fault)
+        await getattr(self, f"_inject_{fault.family}")(fault)
         row[2] = self._loop.time()
 
-    async def _strike_vm(self, fault):
+    async def _inject_vm(self, fault):
         vm = self._world.vms[fault.target % len(self._world.vms)]
         if vm.name in self._busy_vms:
             return
@@ -62,9 +65,9 @@
             self._busy_vms.discard(vm.name)
 
     async def _term_vm(self, vm, for_s):
-        at = self._loop.time()
+        sent_at = self._loop.time()
         vm.signal(signal.SIGTERM)
-        self.stopped.append((vm.address, at))
+        self.stopped.append((vm.address, sent_at))
         try:
             async with asyncio.timeout(GRACE_S + 1.0):
                 code = await vm.process.wait()
@@ -73,7 +76,7 @@
             await vm.end()
             code = 0
         if code:
-            self.problems.append(f"{vm.name} ended with {code} after SIGTERM")
+            self.problems.append(f"{vm.name} exited with {code} after SIGTERM")
         await vm.start()
 
     async def _kill_vm(self, vm, for_s):
@@ -82,15 +85,15 @@
         await vm.start()
 
     async def _herd_vm(self, vm, for_s):
-        struck = [vm]
+        targets = [vm]
         for other in self._world.vms:
             if other.name not in self._busy_vms:
                 self._busy_vms.add(other.name)
-                struck.append(other)
+                targets.append(other)
         try:
-            await asyncio.gather(*(self._kill_vm(one, for_s) for one in struck))
+            await asyncio.gather(*(self._kill_vm(one, for_s) for one in targets))
         finally:
-            self._busy_vms -= {one.name for one in struck}
+            self._busy_vms -= {one.name for one in targets}
 
     async def _pause_vm(self, vm, for_s):
         vm.signal(signal.SIGSTOP)
@@ -101,7 +104,7 @@
         vm.signal(signal.SIGHUP)
         await asyncio.sleep(for_s)
 
-    async def _strike_upstream(self, fault):
+    async def _inject_upstream(self, fault):
         workers = self._world.get_workers()
         worker = workers[fault.target % len(workers)]
         if fault.kind == "crash":
@@ -117,36 +120,36 @@
             await asyncio.sleep(fault.for_s)
             worker.fault = ""
 
-    async def _strike_self_report(self, fault):
+    async def _inject_self_report(self, fault):
         workers = self._world.get_workers()
         worker = workers[fault.target % len(workers)]
         if fault.kind == "limit":
-            await self._limit(worker, fault.for_s + LIMIT_MORE_S)
+            await self._report_limit(worker, fault.for_s + LIMIT_EXTRA_S)
         elif fault.kind == "leave":
-            await self._leave(worker)
+            await self._report_leaving(worker)
         else:
             worker.fault, worker.retry_after = "shed", str(PAUSE_S)
             await asyncio.sleep(fault.for_s)
             worker.fault, worker.retry_after = "", ""
 
-    async def _limit(self, worker, for_s):
+    async def _report_limit(self, worker, for_s):
         if worker.limit:
             return
         worker.limit = str(UPSTREAM_LIMIT_PER_S)
-        begun = self._loop.time()
+        started_at = self._loop.time()
         await asyncio.sleep(for_s)
         worker.limit = ""
-        self.limited.append((worker, begun, self._loop.time()))
+        self.limit_periods.append((worker, started_at, self._loop.time()))
 
-    async def _leave(self, worker):
+    async def _report_leaving(self, worker):
         if worker.leaving:
             return
         worker.leaving = True
-        self.left_at_by_worker[worker.id] = self._loop.time()
+        self.leave_announced_at_by_worker[worker.id] = self._loop.time()
         await asyncio.sleep(LEAVE_S)
-        await self._end(worker)
+        await self._restart(worker)
 
-    async def _end(self, worker):
+    async def _restart(self, worker):
         if worker in self._world.get_workers():
             await self._world.store.remove("servers", worker.id)
             worker.stop()
@@ -154,7 +157,7 @@
 
     async def _crash(self, worker, for_s):
         worker.stop()
-        await asyncio.sleep(min(for_s, LAPSE_S))
+        await asyncio.sleep(min(for_s, ENTRY_EXPIRY_S))
         if worker in self._world.get_workers():
             await self._world.store.remove("servers", worker.id)
             await self._world.replace_worker(worker)
@@ -165,9 +168,9 @@
         await self._world.register(worker, "draining")
         self.drained_at_by_worker[worker.id] = self._loop.time()
         await asyncio.sleep(DRAIN_S)
-        await self._end(worker)
+        await self._restart(worker)
 
-    async def _strike_store(self, fault):
+    async def _inject_store(self, fault):
         faults = self._world.store.faults
         if fault.kind == "restore":
             await self._restore(fault.for_s)
@@ -191,22 +194,22 @@
         copy = store.take_copy()
         await asyncio.sleep(copy_age_s)
         store.faults.status = 503
-        await asyncio.sleep(AWAY_S)
+        await asyncio.sleep(OUTAGE_S)
         await store.restore_copy(copy)
         store.faults.status = 0
-        await asyncio.sleep(WRITTEN_AGAIN_S)
+        await asyncio.sleep(REWRITE_DELAY_S)
         await store.rewrite_changed()
 
-    async def _strike_store_link(self, fault):
-        await self._strike_link(self._world.store_links, fault)
+    async def _inject_store_link(self, fault):
+        await self._inject_link(self._world.store_links, fault)
 
-    async def _strike_upstream_link(self, fault):
-        await self._strike_link(self._world.worker_links, fault)
+    async def _inject_upstream_link(self, fault):
+        await self._inject_link(self._world.worker_links, fault)
 
-    async def _strike_caller_link(self, fault):
-        await self._strike_link(self._world.caller_links, fault)
+    async def _inject_caller_link(self, fault):
+        await self._inject_link(self._world.caller_links, fault)
 
-    async def _strike_link(self, links, fault):
+    async def _inject_link(self, links, fault):
         link = links[fault.target % len(links)]
         if fault.kind == "reset_link":
             link.reset()
@@ -214,11 +217,11 @@
         link.set_mode(fault.kind, DELAY_S if fault.kind == "delayed" else 0.0)
         await asyncio.sleep(fault.for_s)
         link.set_mode("open")
-        # What was lost on the way leaves connections that nobody can use.
+        # Connections that have lost data cannot be used any more.
         if fault.kind.startswith("deaf"):
             link.reset()
 
-    async def _strike_operator(self, fault):
+    async def _inject_operator(self, fault):
         if fault.kind == "config":
             await self._world.change_config()
             return
--- a/godwitlanding/tests/soak/link.py
+++ b/godwitlanding/tests/soak/link.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that stands for a link, with faults to turn on."""
+"""A TCP proxy that simulates a network link with faults."""
 
 import asyncio
 
@@ -8,12 +8,16 @@
 
 
 class Link:
-    """Passes connections at ``address`` on to ``target``.
+    """Forwards connections from ``address`` to ``target``.
 
-    ``mode`` is ``open``, ``delayed`` (each piece by ``delay_s``), ``silent``
-    (nothing passes, nothing ends) or cut one way: ``deaf_up`` loses what is
-    sent to the target, ``deaf_down`` what comes back. What was held up by a
-    silent link passes when it is open again.
+    ``mode`` is one of
+
+    - ``open``: forward all data.
+    - ``delayed``: delay each piece of data by ``delay_s``.
+    - ``silent``: forward no data and no end of file. They are held back and
+      forwarded when the link is open again.
+    - ``deaf_up``: drop the data sent to the target.
+    - ``deaf_down``: drop the data sent by the target.
     """
 
     def __init__(self, address, target):
@@ -27,18 +31,18 @@
         self._opened.set()
 
     async def start(self):
-        """Listen."""
-        self._server = await asyncio.start_server(self._pass_on, *self.address)
+        """Start listening."""
+        self._server = await asyncio.start_server(self._proxy, *self.address)
         return self
 
     def stop(self):
-        """Listen no longer and reset what is open."""
+        """Stop listening and reset all connections."""
         self._server.close()
         self._opened.set()
         self.reset()
 
     def set_mode(self, mode, delay_s=0.0):
-        """Change how the link behaves, also for open connections."""
+        """Change the mode, also for open connections."""
         self.mode = mode
         self.delay_s = delay_s
         if mode == "silent":
@@ -51,33 +55,33 @@
         for writer in list(self._writers):
             reset(writer.transport)
 
-    async def _pass_on(self, reader, writer):
+    async def _proxy(self, reader, writer):
         self._writers.add(writer)
         try:
             await self._opened.wait()
-            upward = await asyncio.open_connection(*self.target)
+            target_streams = await asyncio.open_connection(*self.target)
         except OSError:
             reset(writer.transport)
             self._writers.discard(writer)
             return
-        self._writers.add(upward[1])
+        self._writers.add(target_streams[1])
         try:
             await asyncio.gather(
-                self._pump(reader, upward[1], "deaf_up"),
-                self._pump(upward[0], writer, "deaf_down"),
+                self._forward(reader, target_streams[1], "deaf_up"),
+                self._forward(target_streams[0], writer, "deaf_down"),
             )
         except OSError:
             reset(writer.transport)
-            reset(upward[1].transport)
+            reset(target_streams[1].transport)
         finally:
-            self._writers -= {writer, upward[1]}
+            self._writers -= {writer, target_streams[1]}
 
-    async def _pump(self, reader, writer, deaf):
+    async def _forward(self, reader, writer, loss_mode):
         while data := await reader.read(_READ_BYTES):
             if self.delay_s:
                 await asyncio.sleep(self.delay_s)
             await self._opened.wait()
-            if self.mode != deaf:
+            if self.mode != loss_mode:
                 writer.write(data)
                 await writer.drain()
         await self._opened.wait()
--- a/godwitlanding/tests/soak/regressions.py
+++ b/godwitlanding/tests/soak/regressions.py
@@ -1,13 +1,13 @@
-"""Schedules that once broke a promise, as they were drawn, with the cause."""
+"""Fault schedules that once found a defect, with its cause."""
 
 from godwitlanding.tests.soak.schedule import Fault
 
-# By name: the faults. Each has a line on its cause; none is changed.
-KEPT = {
-    # Seed 2. The store hung while the readers sent their watches again; it
-    # answered none of them when it was back, and nobody heard of a change
-    # for the 21 s after which a watch was given up. All VMs answered 404 for
-    # a new route.
+# Faults by schedule name, unchanged since they were drawn.
+REGRESSION_SCHEDULES = {
+    # Seed 2. The store hung while the VMs that read it sent their watches
+    # again. It responded to none of these watches after it had recovered, so
+    # that no VM received a change until the watches timed out after 21 s. All
+    # VMs responded with 404 on a new route.
     "watches that hang after an outage": (
         Fault(2.74, 1.01, "vm", "kill", 46),
         Fault(3.02, 1.14, "vm", "term", 85),
@@ -19,8 +19,8 @@
         Fault(7.16, 1.04, "operator", "evacuate", 30),
         Fault(7.96, 4.71, "operator", "config", 94),
     ),
-    # Seed 205. SIGHUP reached a VM while it was importing its libraries,
-    # which ends a process by default; the VM was missing from then on.
+    # Seed 205. A VM received SIGHUP while it was importing its libraries. The
+    # default action of SIGHUP ended the process, and the VM stayed down.
     "hangup while a VM starts": (
         Fault(0.87, 4.06, "store_link", "deaf_up", 45),
         Fault(1.34, 3.18, "vm", "herd", 45),
--- a/godwitlanding/tests/soak/run.py
+++ b/godwitlanding/tests/soak/run.py
@@ -1,11 +1,11 @@
-"""Runs seeds of the soak, several at a time, and tells what broke.
+"""Runs seeds of the soak test in parallel and reports violated promises.
 
     python -m godwitlanding.tests.soak.run --seeds 1 50 --jobs 4
 
-Each seed starts a world of its own: four VMs in two regions as real
-processes, eight upstreams and a store, with a link in front of each. Faults
-are drawn from the seed; when they are mended everybody must be served again.
-With ``--plot`` a picture shows what callers got over time.
+Each seed starts its own environment: four VMs in two regions as real
+processes, eight simulated upstreams and a store, with a link in front of
+each. The faults are drawn from the seed. After they are repaired, all callers
+must be served again. ``--plot`` draws the outcomes of requests over time.
 """
 
 import argparse
@@ -23,68 +23,73 @@
 import aiohttp
 
 from godwitlanding.tests.soak.caller import Caller
-from godwitlanding.tests.soak.checker import Judge
-from godwitlanding.tests.soak.faultinjector import Striker
-from godwitlanding.tests.soak.schedule import FAULTS_S, draw_faults
+from godwitlanding.tests.soak.checker import Checker
+from godwitlanding.tests.soak.faultinjector import FaultInjector
+from godwitlanding.tests.soak.schedule import FAULT_WINDOW_S, draw_faults
 from godwitlanding.tests.soak.world import KEY_BY_WORKSPACE, SoakWorld
 
 CALLERS = 10
 CALLER_PAUSE_S = 0.12
-# After the last fault: the longest pause between two tries of a mirror, and
-# the time for an ejected upstream to be tried again.
+# Wait after the last fault: the longest pause between two attempts of a
+# mirror, and the time until an ejected upstream is tried again.
 SETTLE_S = 5.0
-CALM_S = 2.0
-SERVED_SHARE = 0.99
-READY_S = 12.0
+OBSERVATION_S = 2.0
+MIN_SERVED_SHARE = 0.99
+READY_TIMEOUT_S = 12.0
 
 
 class Report(NamedTuple):
-    """What came of one seed."""
+    """The result of one seed."""
 
     seed: int
     faults: tuple
     problems: tuple[str, ...]
     count_by_outcome: dict
-    # Seconds from the start, and the outcome, of each request.
+    # Time since the start in seconds, and outcome, of each request.
     timeline: tuple
     took_s: float
 
 
 async def run_faults(seed, faults, folder):
-    """Play faults, with callers by a seed; return the ``Report``."""
-    begun = time.monotonic()
-    tried = []
+    """Run faults while callers drawn from a seed send requests.
+
+    Returns the ``Report``. The VMs write their logs to ``folder``.
+    """
+    started_at = time.monotonic()
+    records = []
     async with SoakWorld(folder) as world:
         await world.start()
-        striker = Striker(world)
+        injector = FaultInjector(world)
         loop = asyncio.get_running_loop()
-        started = loop.time()
-        tasks = [loop.create_task(world.follow_directory())]
+        timeline_start = loop.time()
+        tasks = [loop.create_task(world.poll_directory())]
         await asyncio.sleep(0.6)
         tasks += [
-            loop.create_task(_make_caller(world, n, tried).run(_rng(seed, n), pause))
+            loop.create_task(
+                _make_caller(world, n, records).run(_make_rng(seed, n), pause)
+            )
             for n, pause in enumerate([CALLER_PAUSE_S] * CALLERS)
         ]
-        await asyncio.gather(*(_strike_later(striker, fault) for fault in faults))
-        problems = await _judge_recovery(world, tried)
-        await _end(tasks)
-        problems += Judge(tried, world, striker).find_problems()
+        await asyncio.gather(*(_inject_later(injector, fault) for fault in faults))
+        problems = await _check_recovery(world, records)
+        await _cancel(tasks)
+        problems += Checker(records, world, injector).find_problems()
     return Report(
         seed,
         tuple(faults),
         tuple(problems),
-        Counter(_name_outcome(row) for row in tried),
-        tuple((row.ended_at - started, _name_outcome(row)) for row in tried),
-        time.monotonic() - begun,
+        Counter(_get_outcome(row) for row in records),
+        tuple((row.ended_at - timeline_start, _get_outcome(row)) for row in records),
+        time.monotonic() - started_at,
     )
 
 
-def _rng(seed, number):
+def _make_rng(seed, number):
     return random.Random(f"{seed}/{number}")
 
 
-def _make_caller(world, number, tried):
-    # One in three belongs to each workspace.
+def _make_caller(world, number, records):
+    # Each of the three workspaces has a third of the callers.
     names = list(KEY_BY_WORKSPACE)
     workspace = names[number % len(names)]
     return Caller(
@@ -93,69 +98,77 @@
         KEY_BY_WORKSPACE[workspace],
         world.pick_vm,
         world.connect,
-        tried.append,
+        records.append,
     )
 
 
-async def _strike_later(striker, fault):
+async def _inject_later(injector, fault):
     await asyncio.sleep(fault.at_s)
-    await striker.strike(fault)
+    await injector.inject(fault)
 
 
-async def _judge_recovery(world, tried):
-    """Return what is not as before some seconds after the last fault."""
+async def _check_recovery(world, records):
+    """Return what has not recovered some seconds after the last fault."""
     problems = []
     try:
-        async with asyncio.timeout(READY_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             for vm in world.vms:
                 await world.wait_until_ready(vm)
     except TimeoutError:
-        problems.append(f"RECOVER {vm.name} is not ready after {READY_S} s")
+        problems.append(f"RECOVER {vm.name} is not ready after {READY_TIMEOUT_S} s")
     await asyncio.sleep(SETTLE_S)
     path = await world.change_config()
-    await asyncio.sleep(CALM_S + 0.5)
-    before = len(tried)
+    await asyncio.sleep(OBSERVATION_S + 0.5)
+    before = len(records)
     for vm in world.vms:
-        status = await _ask_for(world, vm, path)
+        status = await _request_path(world, vm, path)
         if status != 200:
-            problems.append(f"CONFIG {vm.name}: {status} for {path}")
-    await asyncio.sleep(CALM_S)
-    # What is over an allotment is owed to nobody.
-    calm = [row for row in tried[before:] if row.status != 429]
-    served = sum(row.status == 200 for row in calm)
-    if not calm or served < SERVED_SHARE * len(calm):
-        problems.append(f"RECOVER {served} of {len(calm)} served in the end")
+            problems.append(
+                f"CONFIG {vm.name}: status {status} for {path}, 200 expected"
+            )
+    await asyncio.sleep(OBSERVATION_S)
+    # Requests over an allotment need not be served.
+    counted = [row for row in records[before:] if row.status != 429]
+    served = sum(row.status == 200 for row in counted)
+    if not counted or served < MIN_SERVED_SHARE * len(counted):
+        problems.append(
+            f"RECOVER {served} of {len(counted)} requests served after recovery"
+        )
     for vm in world.vms:
         if vm.process.returncode is not None:
-            problems.append(f"CRASH {vm.name} ended by itself")
+            problems.append(
+                f"CRASH {vm.name} exited with {vm.process.returncode} without a fault"
+            )
     return problems
 
 
-async def _ask_for(world, vm, path):
+async def _request_path(world, vm, path):
     try:
         key = {"Authorization": f"Bearer {KEY_BY_WORKSPACE['office']}"}
-        answer, _ = await world.ask(vm, path, **key)
+        response, _ = await world.ask(vm, path, **key)
     except aiohttp.ClientError as error:
         return repr(error)
-    return answer.status
+    return response.status
 
 
-async def _end(tasks):
+async def _cancel(tasks):
     for task in tasks:
         task.cancel()
     results = await asyncio.gather(*tasks, return_exceptions=True)
     for result in results:
         if not isinstance(result, asyncio.CancelledError):
-            raise RuntimeError("a caller ended by itself") from result
+            raise RuntimeError(
+                "a background task ended before it was cancelled"
+            ) from result
 
 
-def _name_outcome(row):
+def _get_outcome(row):
     return str(row.status) if row.status else row.detail
 
 
-def play(seed, logs=None):
-    """Play one seed in this process; VMs log to the folder ``logs``."""
-    # What the stand-ins' servers say when faults end their calls.
+def run_seed(seed, logs=None):
+    """Run one seed in this process; VMs write their logs below ``logs``."""
+    # Suppresses what the stand-ins' servers log when faults interrupt calls.
     logging.disable(logging.CRITICAL)
     if logs:
         folder = logs / f"seed-{seed}"
@@ -166,7 +179,7 @@
 
 
 def format_report(report):
-    """Return a report as lines of text."""
+    """Return a report as text."""
     outcomes = " ".join(f"{k}={v}" for k, v in sorted(report.count_by_outcome.items()))
     verdict = "ok" if not report.problems else "BROKEN"
     lines = [f"seed {report.seed}: {verdict} in {report.took_s:.0f} s; {outcomes}"]
@@ -177,7 +190,7 @@
 
 
 def draw_plot(reports, path):
-    """Draw what callers got each second, a row for each report."""
+    """Plot the outcomes of requests per second, one row for each report."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -186,10 +199,12 @@
     figure, axes = pyplot.subplots(len(reports), 1, figsize=(9, 2 * len(reports)))
     for axis, report in zip([axes] if len(reports) == 1 else axes, reports):
         for outcome in sorted(report.count_by_outcome):
-            seconds = Counter(int(at) for at, o in report.timeline if o == outcome)
+            count_by_second = Counter(
+                int(at) for at, o in report.timeline if o == outcome
+            )
             last = max((int(at) for at, _ in report.timeline), default=0)
-            axis.plot([seconds[s] for s in range(last + 1)], label=outcome)
-        axis.axvspan(0.6, FAULTS_S + 0.6, alpha=0.1)
+            axis.plot([count_by_second[s] for s in range(last + 1)], label=outcome)
+        axis.axvspan(0.6, FAULT_WINDOW_S + 0.6, alpha=0.1)
         axis.set_title(f"seed {report.seed}", fontsize=8)
         axis.legend(fontsize=6)
     figure.tight_layout()
@@ -206,26 +221,27 @@
         nargs=2,
         default=(1, 4),
         metavar=("FIRST", "LAST"),
-        help="Seeds to play, both included; default: 1 4",
+        help="Seeds to run, both included; default: 1 4",
     )
     parser.add_argument(
-        "--jobs", type=int, default=2, help="Seeds played at a time; default: 2"
+        "--jobs", type=int, default=2, help="Seeds run in parallel; default: 2"
     )
-    parser.add_argument("--plot", type=Path, help="Write a picture of what callers got")
+    parser.add_argument("--plot", type=Path, help="Write a plot of request outcomes")
     parser.add_argument(
-        "--logs", type=Path, metavar="FOLDER", help="Keep the VMs' logs there"
+        "--logs", type=Path, metavar="FOLDER", help="Keep the VMs' logs in this folder"
     )
     return parser.parse_args(argv)
 
 
 def main(argv=None):
-    """Play the seeds; the exit code tells whether all promises were kept."""
+    """Run the seeds; return 0 if no promise was violated, else 1."""
     arguments = parse_arguments(argv)
     first, last = arguments.seeds
     reports = []
     with ProcessPoolExecutor(arguments.jobs, max_tasks_per_child=1) as pool:
         futures = [
-            pool.submit(play, seed, arguments.logs) for seed in range(first, last + 1)
+            pool.submit(run_seed, seed, arguments.logs)
+            for seed in range(first, last + 1)
         ]
         for future in as_completed(futures):
             reports.append(future.result())
@@ -236,9 +252,12 @@
             )
     if arguments.plot:
         draw_plot(sorted(reports)[:8], arguments.plot)
-    broken = sorted(report.seed for report in reports if report.problems)
-    print(f"soak: {len(reports) - len(broken)} of {len(reports)} kept, broken {broken}")
-    return 1 if broken else 0
+    failed_seeds = sorted(report.seed for report in reports if report.problems)
+    print(
+        f"soak: {len(reports) - len(failed_seeds)} of {len(reports)} kept, "
+        f"broken {failed_seeds}"
+    )
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/godwitlanding/tests/soak/schedule.py
+++ b/godwitlanding/tests/soak/schedule.py
@@ -1,21 +1,24 @@
-"""Which faults a seed draws, and when; no process and no network.
+"""Draws the schedule of faults for a seed.
 
-Faults come in series and overlap: each begins at a time of its own, lasts
-for a while, and the next may begin meanwhile, also on the same thing.
+Faults may overlap: each has its own start time and duration, and another may
+begin meanwhile, also on the same target. This module starts no process and
+uses no network.
 """
 
 import random
 from typing import NamedTuple
 
-# Of one seed: faults begin in this time, and then everything is mended.
-FAULTS_S = 8.0
+# All faults of a seed begin within this time; then all are repaired.
+FAULT_WINDOW_S = 8.0
 MIN_FAULTS = 3
 MAX_FAULTS = 14
 
-# Kinds by what they strike; ``planned`` ones promise that nobody notices.
+# Kinds by family of targets. Those in ``PLANNED_KINDS`` are planned
+# operations, which must not affect callers.
+# ``term`` is SIGTERM, ``hangup`` is SIGHUP, ``herd`` kills all VMs at once.
 VM_KINDS = ("term", "kill", "pause", "hangup", "herd")
 UPSTREAM_KINDS = ("crash", "shed", "fail", "reset", "cut", "slow", "drain")
-# What an upstream says of itself in its answers alone.
+# What an upstream reports about itself only in its responses.
 SELF_REPORT_KINDS = ("limit", "leave", "pause_asked")
 STORE_KINDS = ("down", "busy", "hang", "slow", "lose_answers", "forget", "restore")
 LINK_KINDS = ("delayed", "silent", "deaf_up", "deaf_down", "reset_link")
@@ -34,9 +37,10 @@
 
 
 class Fault(NamedTuple):
-    """One fault: what it strikes (``family``), how, which one, and when.
+    """A fault of a ``kind`` on one target of a ``family``.
 
-    ``target`` counts the things of the family, modulo their number.
+    It begins ``at_s`` after the start and lasts ``for_s``. ``target`` is the
+    index of the target in the family, modulo the number of targets.
     """
 
     at_s: float
@@ -47,7 +51,7 @@
 
 
 def draw_faults(seed):
-    """Return the faults of a seed in the order in which they begin."""
+    """Return the faults of a seed, ordered by start time."""
     rng = random.Random(seed)
     planned_only = rng.random() < 0.2
     weights = [weight for _, _, weight in _FAMILIES]
@@ -59,7 +63,7 @@
             family, kind = "operator", "config"
         faults.append(
             Fault(
-                at_s=round(rng.uniform(0.2, FAULTS_S), 2),
+                at_s=round(rng.uniform(0.2, FAULT_WINDOW_S), 2),
                 for_s=round(
                     rng.choice((0.3, 1.0, 2.5, 4.0)) * rng.uniform(0.7, 1.3), 2
                 ),
--- a/godwitlanding/tests/soak/test_soak.py
+++ b/godwitlanding/tests/soak/test_soak.py
@@ -1,26 +1,27 @@
-"""A short run of the soak, and whether it would notice what it checks."""
+"""Short soak runs, and tests of the soak's own checker and links."""
 
 import asyncio
 from types import SimpleNamespace
 
 import pytest
 
-from godwitlanding.tests.soak.caller import Tried
-from godwitlanding.tests.soak.checker import DRAIN_S, EVACUATE_S, SLACK_S, Judge
+from godwitlanding.tests.soak.caller import RequestRecord
+from godwitlanding.tests.soak.checker import DRAIN_S, EVACUATE_S, SLACK_S, Checker
 from godwitlanding.tests.soak.link import Link
-from godwitlanding.tests.soak.regressions import KEPT
+from godwitlanding.tests.soak.regressions import REGRESSION_SCHEDULES
 from godwitlanding.tests.soak.run import format_report, run_faults
-from godwitlanding.tests.soak.schedule import FAULTS_S, Fault, draw_faults
+from godwitlanding.tests.soak.schedule import FAULT_WINDOW_S, Fault, draw_faults
 from godwitlanding.tests.standins.standin_worker import make_echo
 from godwitlanding.tests.tools.network import claim_world_prefix
 
-# The second draws upstreams that are limited, leave and want a pause.
+# The second seed draws upstreams that report a limit, leave and send
+# Retry-After.
 CI_SEEDS = (38, 347)
 
 
-@pytest.mark.parametrize("name", KEPT)
-async def test_kept_schedule_breaks_nothing(name, tmp_path):
-    report = await run_faults(0, KEPT[name], tmp_path)
+@pytest.mark.parametrize("name", REGRESSION_SCHEDULES)
+async def test_regression_schedule_breaks_nothing(name, tmp_path):
+    report = await run_faults(0, REGRESSION_SCHEDULES[name], tmp_path)
     assert not report.problems, format_report(report)
 
 
@@ -31,15 +32,15 @@
     assert report.count_by_outcome["200"] > 300
 
 
-def test_seed_always_draws_the_same():
+def test_seed_always_draws_the_same_faults():
     assert draw_faults(5) == draw_faults(5)
     assert draw_faults(5) != draw_faults(6)
     for seed in range(50):
-        assert all(0 < fault.at_s <= FAULTS_S for fault in draw_faults(seed))
+        assert all(0 < fault.at_s <= FAULT_WINDOW_S for fault in draw_faults(seed))
 
 
-def make_tried(**changes):
-    tried = Tried(
+def make_record(**changes):
+    record = RequestRecord(
         request_id="c01-1",
         workspace="office",
         vm="10.0.0.1:80",
@@ -52,14 +53,14 @@
         body=make_echo(b"c01-1"),
         retry_after=False,
     )
-    return tried._replace(**changes)
+    return record._replace(**changes)
 
 
-OF_OFFICE = {b"godwitlanding-tenant": b"office"}
-OF_SMALL = {b"godwitlanding-tenant": b"small"}
+OFFICE_HEADERS = {b"godwitlanding-tenant": b"office"}
+SMALL_HEADERS = {b"godwitlanding-tenant": b"small"}
 
 
-def make_worker(*runs, service="pays", zone="a1", headers=OF_OFFICE, paused=()):
+def make_worker(*runs, service="pays", zone="a1", headers=OFFICE_HEADERS, paused=()):
     arrivals = [("c01-1", at) for at in runs]
     return SimpleNamespace(
         id="w",
@@ -74,28 +75,28 @@
     )
 
 
-def judge(
-    tried,
+def check(
+    record,
     *workers,
     faults=(),
     drained=None,
-    left=None,
+    leaving=None,
     limited=None,
     evacuations=(),
     log="",
 ):
-    striker = SimpleNamespace(
+    injector = SimpleNamespace(
         problems=[],
         log=[[fault, fault.at_s, fault.at_s + fault.for_s] for fault in faults],
         drained_at_by_worker=drained or {},
-        left_at_by_worker=left or {},
-        limited=[(workers[0], *limited)] if limited else [],
+        leave_announced_at_by_worker=leaving or {},
+        limit_periods=[(workers[0], *limited)] if limited else [],
         evacuations=evacuations,
         stopped=[],
     )
     vm = SimpleNamespace(name="vm-0", address="10.0.0.1:80", read_log=lambda: log)
     world = SimpleNamespace(vms=[vm], get_all_workers=lambda: workers)
-    found = Judge([tried], world, striker).find_problems()
+    found = Checker([record], world, injector).find_problems()
     return [problem.split()[0] for problem in found]
 
 
@@ -104,153 +105,167 @@
 STORE = Fault(9.0, 9.0, "store", "down", 0)
 PAUSE = Fault(10.5, 1.0, "vm", "pause", 0)
 LATE_S = DRAIN_S + SLACK_S + 0.1
-BROKEN = (
-    pytest.param(make_tried(), (make_worker(10.0),), {}, [], id="served"),
-    pytest.param(make_tried(), (make_worker(10.0, 10.1),), {}, ["TWICE"], id="twice"),
+CASES = (
+    pytest.param(make_record(), (make_worker(10.0),), {}, [], id="served"),
+    pytest.param(make_record(), (make_worker(10.0, 10.1),), {}, ["TWICE"], id="twice"),
     pytest.param(
-        make_tried(status=503, retry_after=True),
+        make_record(status=503, retry_after=True),
         (make_worker(10.0),),
         {},
         ["REFUSED"],
         id="refused and run",
     ),
-    pytest.param(make_tried(status=503), (), {}, ["REFUSED"], id="no Retry-After"),
+    pytest.param(make_record(status=503), (), {}, ["REFUSED"], id="no Retry-After"),
     pytest.param(
-        make_tried(body=b"c02"), (make_worker(10.0),), {}, ["MIXED"], id="cut"
+        make_record(body=b"c02"), (make_worker(10.0),), {}, ["MIXED"], id="cut"
     ),
-    pytest.param(make_tried(), (), {}, ["MIXED"], id="never run"),
+    pytest.param(make_record(), (), {}, ["MIXED"], id="never run"),
     pytest.param(
-        make_tried(detail="foreign"), (make_worker(10.0),), {}, ["MIXED"], id="foreign"
+        make_record(detail="foreign"), (make_worker(10.0),), {}, ["MIXED"], id="foreign"
     ),
     pytest.param(
-        make_tried(), (make_worker(10.0, service="looks"),), {}, ["ROUTE"], id="route"
+        make_record(), (make_worker(10.0, service="looks"),), {}, ["ROUTE"], id="route"
     ),
-    pytest.param(make_tried(status=404), (), {}, ["DENIED"], id="denied"),
-    pytest.param(make_tried(status=401), (), {}, ["DENIED"], id="known key denied"),
+    pytest.param(make_record(status=404), (), {}, ["DENIED"], id="denied"),
+    pytest.param(make_record(status=401), (), {}, ["DENIED"], id="known key denied"),
     pytest.param(
-        make_tried(status=429, retry_after=True), (), {}, ["DENIED"], id="no limit"
+        make_record(status=429, retry_after=True),
+        (),
+        {},
+        ["DENIED"],
+        id="429 without a limit",
     ),
     pytest.param(
-        make_tried(workspace="small", status=429), (), {}, ["REFUSED"], id="until when"
+        make_record(workspace="small", status=429),
+        (),
+        {},
+        ["REFUSED"],
+        id="429 without Retry-After",
     ),
     pytest.param(
-        make_tried(), (make_worker(10.0, headers={}),), {}, ["UNASKED"], id="no name"
+        make_record(),
+        (make_worker(10.0, headers={}),),
+        {},
+        ["UNASKED"],
+        id="no tenant header",
     ),
     pytest.param(
-        make_tried(),
-        (make_worker(10.0, headers=OF_SMALL),),
+        make_record(),
+        (make_worker(10.0, headers=SMALL_HEADERS),),
         {},
         ["UNASKED"],
         id="another workspace",
     ),
     pytest.param(
-        make_tried(),
-        (make_worker(10.0, headers={**OF_OFFICE, b"authorization": b"x"}),),
+        make_record(),
+        (make_worker(10.0, headers={**OFFICE_HEADERS, b"authorization": b"x"}),),
         {},
         ["UNASKED"],
-        id="key passed on",
+        id="API key forwarded",
     ),
     pytest.param(
-        make_tried(workspace="small", unsafe=False),
-        (make_worker(*[10.0] * 70, headers=OF_SMALL),),
+        make_record(workspace="small", unsafe=False),
+        (make_worker(*[10.0] * 70, headers=SMALL_HEADERS),),
         {},
         ["QUOTA"],
         id="over its allotment",
     ),
     pytest.param(
-        make_tried(status=0, detail="closed"),
+        make_record(status=0, detail="closed"),
         (make_worker(10.0),),
         {"faults": [TERM]},
         ["LOST"],
         id="cut off by a planned stop",
     ),
     pytest.param(
-        make_tried(status=0, detail="closed"),
+        make_record(status=0, detail="closed"),
         (make_worker(10.0),),
         {"faults": [KILL]},
         [],
         id="cut off by a kill",
     ),
     pytest.param(
-        make_tried(status=0, detail="closed"),
+        make_record(status=0, detail="closed"),
         (),
         {},
         [],
         id="closed before it was read",
     ),
-    pytest.param(make_tried(status=0, detail="silent"), (), {}, ["HELD"], id="held"),
     pytest.param(
-        make_tried(),
+        make_record(status=0, detail="silent"), (), {}, ["HELD"], id="no response"
+    ),
+    pytest.param(
+        make_record(),
         (make_worker(10.0),),
         {"drained": {"w": 10.0 - LATE_S}},
         ["DRAIN"],
         id="drained",
     ),
     pytest.param(
-        make_tried(),
+        make_record(),
         (make_worker(10.0),),
         {"drained": {"w": 10.0 - LATE_S}, "faults": [KILL]},
         [],
-        id="drained in a disturbance",
+        id="drained during a fault",
     ),
     pytest.param(
-        make_tried(),
+        make_record(),
         (make_worker(10.0),),
         {"evacuations": [["a1", 10.0 - EVACUATE_S - 1.0, 20.0]]},
         ["EVAC"],
         id="evacuated",
     ),
     pytest.param(
-        make_tried(), (make_worker(10.0),), {"log": "Traceback"}, ["CRASH"], id="crash"
+        make_record(), (make_worker(10.0),), {"log": "Traceback"}, ["CRASH"], id="crash"
     ),
     pytest.param(
-        make_tried(unsafe=False),
+        make_record(unsafe=False),
         (make_worker(10.0, 10.2 + DRAIN_S),),
-        {"left": {"w": 9.0}, "faults": [STORE]},
+        {"leaving": {"w": 9.0}, "faults": [STORE]},
         ["DRAIN"],
-        id="told that it leaves, with the store away",
+        id="sent after leaving was reported, store down",
     ),
     pytest.param(
-        make_tried(unsafe=False),
+        make_record(unsafe=False),
         (make_worker(10.0, 10.2 + DRAIN_S),),
-        {"left": {"w": 9.0}, "faults": [PAUSE]},
+        {"leaving": {"w": 9.0}, "faults": [PAUSE]},
         [],
-        id="told that it leaves and then paused",
+        id="sent after leaving was reported, VM paused",
     ),
     pytest.param(
-        make_tried(unsafe=False),
+        make_record(unsafe=False),
         (make_worker(*[20.0] * 20),),
         {"limited": (10.0, 30.0)},
         ["LIMIT"],
         id="over a limit",
     ),
     pytest.param(
-        make_tried(unsafe=False),
+        make_record(unsafe=False),
         (make_worker(*[20.0] * 10),),
         {"limited": (10.0, 30.0)},
         [],
         id="within a limit",
     ),
     pytest.param(
-        make_tried(unsafe=False),
+        make_record(unsafe=False),
         (make_worker(10.0, 10.6, 10.7, 10.8, paused=[("c01-1", 10.0)]),),
         {},
         ["BUDGET"],
-        id="asked in a pause",
+        id="many requests in a pause",
     ),
     pytest.param(
-        make_tried(unsafe=False),
+        make_record(unsafe=False),
         (make_worker(10.0, 10.6, 10.7, 11.8, paused=[("c01-1", 10.0)]),),
         {},
         [],
-        id="hardly asked in a pause",
+        id="few requests in a pause",
     ),
 )
 
 
-@pytest.mark.parametrize(("tried", "workers", "happened", "expected"), BROKEN)
-def test_judge_notices(tried, workers, happened, expected):
-    assert judge(tried, *workers, **happened) == expected
+@pytest.mark.parametrize(("record", "workers", "events", "expected"), CASES)
+def test_checker_reports_expected_problems(record, workers, events, expected):
+    assert check(record, *workers, **events) == expected
 
 
 async def _serve_echo(reader, writer):
@@ -260,11 +275,11 @@
 
 
 @pytest.mark.parametrize(
-    ("mode", "arrives"),
+    ("mode", "is_forwarded"),
     [("open", True), ("delayed", True)]
     + [(mode, False) for mode in ("silent", "deaf_up", "deaf_down")],
 )
-async def test_link(mode, arrives):
+async def test_link_mode(mode, is_forwarded):
     prefix = claim_world_prefix()
     server = await asyncio.start_server(_serve_echo, f"{prefix}30", 9000)
     link = await Link((f"{prefix}31", 9000), (f"{prefix}30", 9000)).start()
@@ -274,9 +289,9 @@
     try:
         async with asyncio.timeout(0.5):
             assert await reader.read(1) == b"x"
-            assert arrives
+            assert is_forwarded
     except TimeoutError:
-        assert not arrives
+        assert not is_forwarded
     link.stop()
     server.close()
     writer.close()
--- a/godwitlanding/tests/soak/world.py
+++ b/godwitlanding/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""The world of the soak: VMs, upstreams and a store, with links between."""
+"""Test environment of the soak: VMs, upstreams and a store behind links."""
 
 import asyncio
 import itertools
@@ -21,12 +21,13 @@
     for zone in ZONES
     for name, service in (("look", "looks"), ("pay", "pays"))
 )
-# Addresses are the prefix and a number from here on.
-FIRST_STORE_LINK = 150
-FIRST_WORKER_LINK = 170
-FIRST_CALLER_LINK = 215
+# Host numbers of the links, counted up from here; an address is the prefix
+# and a host number.
+FIRST_STORE_LINK_NUMBER = 150
+FIRST_WORKER_LINK_NUMBER = 170
+FIRST_CALLER_LINK_NUMBER = 215
 WORK_S = 0.03
-# Requests a second that a small workspace may send; the others have no limit.
+# Requests per second of the workspace ``small``; the others have no limit.
 LIMIT_PER_S = 6.0
 LIMIT_BURST = 6.0
 KEY_BY_WORKSPACE = {"office": "office-key", "depot": "depot-key", "small": "small-key"}
@@ -35,25 +36,29 @@
     ["depot", [KEY_BY_WORKSPACE["depot"]], None, None, None, None],
     ["small", [KEY_BY_WORKSPACE["small"]], 1, LIMIT_PER_S, LIMIT_BURST, []],
 ]
-DIRECTORY_PAUSE_S = 0.5
+DIRECTORY_POLL_S = 0.5
 DIRECTORY_TIMEOUT_S = 1.0
 
 
 class SoakWorld(World):
-    """Each VM reaches the store, and callers each VM, by a link of its own."""
+    """A ``World`` in which connections pass through links.
+
+    Each VM has its own link to the store. Each upstream and each VM has one
+    for the connections that it accepts; VMs reach each other directly.
+    """
 
     def __init__(self, folder):
         super().__init__(folder, ZONES, WORKERS)
         self.store_links = []
         self.worker_links = []
         self.caller_links = []
-        # Links of upstreams by the upstream's place, which outlives its id.
-        self._link_by_place = {}
+        # By the upstream's own address, which a restart keeps, unlike the id.
+        self._link_by_worker_address = {}
         self._link_by_vm_address = {}
-        self._boots = itertools.count(1)
-        self._named = []
+        self._restart_numbers = itertools.count(1)
+        self._vm_addresses = []
         self.config_number = 7
-        self.gone_workers = []
+        self.former_workers = []
 
     async def __aexit__(self, *error):
         await super().__aexit__(*error)
@@ -61,54 +66,57 @@
             link.stop()
 
     async def prepare_vm(self, vm, number):
-        """Put links before and behind a VM."""
-        host = f"{self._prefix}{FIRST_STORE_LINK + number}"
+        """Create the links from callers to a VM and from it to the store."""
+        host = f"{self._prefix}{FIRST_STORE_LINK_NUMBER + number}"
         link = await Link((host, STORE_PORT), (f"{self._prefix}1", STORE_PORT)).start()
         self.store_links.append(link)
         vm.store = f"{host}:{STORE_PORT}"
-        front = VM_PORTS[0]
-        host = f"{self._prefix}{FIRST_CALLER_LINK + number}"
-        link = await Link((host, front), (vm.ip, front)).start()
+        caller_port = VM_PORTS[0]
+        host = f"{self._prefix}{FIRST_CALLER_LINK_NUMBER + number}"
+        link = await Link((host, caller_port), (vm.ip, caller_port)).start()
         self.caller_links.append(link)
-        self._link_by_vm_address[f"{vm.ip}:{front}"] = link
+        self._link_by_vm_address[f"{vm.ip}:{caller_port}"] = link
 
     async def register(self, worker, state="ready"):
-        """Write an upstream's entry with its link's address."""
+        """Write an upstream's entry with the address of its link."""
         worker.echoes = True
         worker.work_s = WORK_S
-        link = self._link_by_place.get(worker.address)
+        link = self._link_by_worker_address.get(worker.address)
         if link is None:
-            number = FIRST_WORKER_LINK + len(self.worker_links)
+            number = FIRST_WORKER_LINK_NUMBER + len(self.worker_links)
             address = (f"{self._prefix}{number}", WORKER_PORT)
             link = await Link(address, worker.address).start()
-            self._link_by_place[worker.address] = link
+            self._link_by_worker_address[worker.address] = link
             self.worker_links.append(link)
         host, port = link.address
         entry = {**worker.make_entry(state), "address": f"{host}:{port}"}
         await self.store.put("servers", worker.id, entry)
 
     def get_workers(self):
-        """Return the upstreams that there are."""
+        """Return the current upstreams."""
         return list(self._workers_by_id.values())
 
     def get_all_workers(self):
-        """Return the upstreams that there are and those that were."""
-        return self.get_workers() + self.gone_workers
+        """Return the current upstreams and those that were replaced."""
+        return self.get_workers() + self.former_workers
 
     async def replace_worker(self, worker):
-        """Start an upstream anew at the same place: another id."""
+        """Restart an upstream at the same address under a new id."""
         del self._workers_by_id[worker.id]
-        self.gone_workers.append(worker)
+        self.former_workers.append(worker)
         name = worker.id.partition(".")[0]
-        fresh = type(worker)(
-            f"{name}.{next(self._boots)}", worker.service, *worker.address, worker.zone
+        new_worker = type(worker)(
+            f"{name}.{next(self._restart_numbers)}",
+            worker.service,
+            *worker.address,
+            worker.zone,
         )
-        await fresh.start()
-        self._workers_by_id[fresh.id] = fresh
-        await self.register(fresh)
+        await new_worker.start()
+        self._workers_by_id[new_worker.id] = new_worker
+        await self.register(new_worker)
 
     async def change_config(self):
-        """Write the next configuration; return the path it adds."""
+        """Write the next configuration; return the path that it adds."""
         self.config_number += 1
         rows = [
             [f"v{n}", "h", f"/v{n}/", "safe", "2s", "400ms", 2]
@@ -120,32 +128,32 @@
         return f"/v{self.config_number}/1"
 
     async def start(self):
-        """Let callers need keys from the beginning."""
+        """Start all VMs with a configuration that requires API keys."""
         await self.store.put("config", "main", make_config(workspaces=WORKSPACES))
         await super().start()
 
-    async def follow_directory(self):
-        """Keep what some VM's directory names, as callers do."""
+    async def poll_directory(self):
+        """Poll the directories of random VMs for addresses, as callers do."""
         while True:
             vm = random.choice(self.vms)
             try:
                 async with asyncio.timeout(DIRECTORY_TIMEOUT_S):
-                    self._named = await self.resolve(vm, random.choice("ab"))
+                    self._vm_addresses = await self.resolve(vm, random.choice("ab"))
             except (aiohttp.ClientError, TimeoutError, KeyError, ValueError):
-                # Callers keep an answer while there is no newer one.
+                # Callers keep the last response until there is a newer one.
                 pass
-            await asyncio.sleep(DIRECTORY_PAUSE_S)
+            await asyncio.sleep(DIRECTORY_POLL_S)
 
     async def pick_vm(self):
-        """Return the address of a VM that the directory names."""
-        return random.choice(self._named) if self._named else ""
+        """Return a random VM address from the directory, or an empty text."""
+        return random.choice(self._vm_addresses) if self._vm_addresses else ""
 
     async def connect(self, vm_address):
-        """Open a caller's connection by the VM's link."""
+        """Open a caller's connection through the link of a VM."""
         return await asyncio.open_connection(
             *self._link_by_vm_address[vm_address].address
         )
 
     def get_vm_at(self, address):
-        """Return the VM that callers reach at an address."""
+        """Return the VM with the given address for callers."""
         return next(vm for vm in self.vms if vm.address == address)
--- a/godwitlanding/tests/standins/__init__.py
+++ b/godwitlanding/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of what is outside: stores, upstreams, their bodies."""
+"""Test stand-ins for external systems: stores, upstreams and zone peers."""
--- a/godwitlanding/tests/standins/bodies.py
+++ b/godwitlanding/tests/standins/bodies.py
@@ -1,7 +1,8 @@
-"""Bodies by which a caller can tell that an answer is whole and its own.
+"""Response bodies that can be checked for completeness and origin.
 
-Upstream stand-ins make them and callers check them; neither trusts what
-lies between.
+Upstream stand-ins create them and simulated callers verify them, so that a
+truncated or misdirected response is found without trusting the system under
+test between them.
 """
 
 import hashlib
@@ -11,7 +12,7 @@
 
 
 def make_body(request_id, upstream_id, size_bytes=200):
-    """Return the JSON body of the answer to one request."""
+    """Return the JSON body of the response to a request, with a checksum."""
     padding = request_id * (size_bytes // max(1, len(request_id)))
     digest = hashlib.sha256(f"{request_id} {padding}".encode()).hexdigest()
     value = {
@@ -24,7 +25,7 @@
 
 
 def is_intact(body, request_id):
-    """Tell whether ``body`` is all of the answer to ``request_id``."""
+    """Tell whether ``body`` is the complete response to ``request_id``."""
     try:
         value = json.loads(body)
         text = f"{value['id']} {value['padding']}"
@@ -35,7 +36,7 @@
 
 
 def make_bundle(name, size_bytes):
-    """Return the bytes of a download, the same on every upstream."""
+    """Return the bytes of a download; they are the same on every upstream."""
     seed = hashlib.sha256(name.encode()).digest()
     blocks = size_bytes // _BLOCK_BYTES + 1
     numbered = (seed[:24] + index.to_bytes(8, "big") for index in range(blocks))
@@ -43,5 +44,5 @@
 
 
 def make_etag(bundle):
-    """Return the strong validator of a download."""
+    """Return the strong ETag of a download."""
     return f'"{hashlib.sha256(bundle).hexdigest()[:32]}"'
--- a/godwitlanding/tests/standins/licensed.py
+++ b/godwitlanding/tests/standins/licensed.py
@@ -1,7 +1,8 @@
-"""One simulated licensed upstream: its slots, faults and counts.
+"""A simulated licensed upstream with slots, faults and counters.
 
-It runs what it is sent even over its slots and counts the excess, since a
-stand-in that refused would hide that the system under test pushed it over.
+It runs requests even beyond its slots and counts the excess, because a
+stand-in that refused them would hide that the system under test exceeded the
+limit.
 """
 
 import asyncio
@@ -10,14 +11,14 @@
 
 from godwitlanding.tests.standins.bodies import make_body, make_bundle, make_etag
 from godwitlanding.tests.standins.listener import Listener, reset
-from godwitlanding.tests.standins.upstreamfaults import Switches
+from godwitlanding.tests.standins.upstreamfaults import UpstreamFaults
 from godwitlanding.tests.standins.workrequest import (
-    Cut,
-    Expired,
-    Work,
+    DeadlineExceeded,
+    Interrupted,
+    WorkRequest,
     read_body,
-    sleep_unless,
-    wait_until_gone,
+    sleep_unless_disconnected,
+    wait_for_disconnect,
 )
 
 CHUNK_BYTES = 16_384
@@ -37,25 +38,28 @@
 
 
 class Executions:
-    """Counts how often each piece of work ran, over all upstreams."""
+    """Counts how often each non-idempotent request ran on all upstreams."""
 
     def __init__(self):
         self.count_by_id = Counter()
         self.count_by_key = Counter()
 
-    def note(self, request_id, key):
-        """Count one run of non-idempotent work."""
+    def record(self, request_id, key):
+        """Count one run of a non-idempotent request."""
         self.count_by_id[request_id] += 1
         if key:
             self.count_by_key[key] += 1
 
 
 class LicensedUpstream:
-    """An ASGI app that behaves like a licensed upstream."""
+    """An ASGI app that behaves like a licensed upstream.
+
+    ``work_s`` is the mean working time of a request that names none.
+    """
 
     def __init__(self, upstream, work_s, executions, seed=0):
         self.id = upstream.id
-        self.switches = Switches()
+        self.faults = UpstreamFaults()
         self.counts = Counter()
         self.busy = 0
         self.most_busy = 0
@@ -74,36 +78,36 @@
 
     @property
     def is_listening(self):
-        """Tell whether it takes connections."""
+        """Tell whether the upstream accepts connections."""
         return self._listener.is_open
 
     async def start(self):
-        """Listen; a cold start begins."""
+        """Start listening; the cold-start period begins."""
         self._started_at = asyncio.get_running_loop().time()
         await self._listener.start()
 
     def crash(self, down_s):
-        """Reset every connection and be away for ``down_s``."""
+        """Reset all connections and stay down for ``down_s``."""
         self.counts["crashes"] += 1
         self._listener.crash()
         self._restart = asyncio.ensure_future(self._start_later(down_s))
 
     def stop(self):
-        """End for good."""
+        """Stop without a later restart."""
         if self._restart:
             self._restart.cancel()
         self._listener.crash()
 
     def change(self, values):
-        """Turn switches."""
-        was_draining = self.switches.draining
-        self.switches.change(values)
-        if self.switches.draining and not was_draining:
+        """Set the given faults."""
+        was_draining = self.faults.draining
+        self.faults.change(values)
+        if self.faults.draining and not was_draining:
             self._drained_at = asyncio.get_running_loop().time()
-        self._note_state()
+        self._record_state()
 
     def get_stats(self):
-        """Return the counts as plain values."""
+        """Return the counters and the number of busy slots."""
         counts = {name: self.counts[name] for name in COUNTS}
         return {
             **counts,
@@ -114,102 +118,102 @@
         }
 
     async def __call__(self, scope, receive, send):
-        """Answer one request."""
+        """Respond to a request."""
         if scope["path"] == "/healthz":
-            await self._answer_health(send)
+            await self._respond_health(send)
         elif scope["path"] == "/load":
-            await self._answer_load(send)
+            await self._respond_load(send)
         else:
-            await self._answer_work(scope, receive, send)
+            await self._respond_work(scope, receive, send)
 
-    async def _answer_health(self, send):
-        self._note_state()
-        mode = self.switches.health
+    async def _respond_health(self, send):
+        self._record_state()
+        mode = self.faults.health
         if mode == "hang":
             await asyncio.sleep(60)
-        state = _read_lagging(self._health_history, self.switches.health_lag_s)
+        state = _get_delayed(self._health_history, self.faults.health_lag_s)
         if mode == "always_ok":
             state = "ready"
         if mode == "always_bad":
             state = "failing"
         status = 200 if state in ("ready", "cold") else 503
-        await _answer(send, status, b'{"state": "%s"}' % state.encode())
+        await _respond(send, status, b'{"state": "%s"}' % state.encode())
 
-    async def _answer_load(self, send):
-        busy = _read_lagging(self._load_history, self.switches.load_lag_s) or 0
-        if self.switches.load_lie >= 0:
-            busy = self.switches.load_lie
+    async def _respond_load(self, send):
+        busy = _get_delayed(self._load_history, self.faults.load_lag_s) or 0
+        if self.faults.load_lie >= 0:
+            busy = self.faults.load_lie
         body = b'{"busy": %d, "slots": %d}' % (busy, self._slots)
-        await _answer(send, 200, body)
+        await _respond(send, 200, body)
 
-    async def _answer_work(self, scope, receive, send):
-        refusal = self._find_refusal()
+    async def _respond_work(self, scope, receive, send):
+        refusal = self._get_refusal()
         if refusal:
-            await _answer(send, 503, b"", [(b"upstream-refused", refusal)])
+            await _respond(send, 503, b"", [(b"upstream-refused", refusal)])
             return
-        work = Work(scope)
-        # Slots are taken before the body has come: the licence counts the
-        # request from its first byte.
-        self._begin()
+        work = WorkRequest(scope)
+        # The slot is occupied before the body arrives, because the licence
+        # counts a request from its first byte.
+        self._occupy_slot()
         try:
             await self._run(work, receive, send)
-        except Cut:
-            lost = "cut" if self._listener.is_open else "lost_in_crash"
-            self.counts[lost] += 1
-        except Expired:
-            self._end(work)
+        except Interrupted:
+            count_name = "cut" if self._listener.is_open else "lost_in_crash"
+            self.counts[count_name] += 1
+        except DeadlineExceeded:
+            self._free_slot(work)
             self.counts["expired"] += 1
-            await _answer(send, 504, b"")
+            await _respond(send, 504, b"")
         finally:
-            self._end(work)
+            self._free_slot(work)
 
     async def _run(self, work, receive, send):
         await read_body(receive)
         if work.method not in ("GET", "HEAD"):
-            self._executions.note(work.id, work.key)
+            self._executions.record(work.id, work.key)
         if work.is_poison:
             self.counts["poisoned"] += 1
-            self.crash(self.switches.down_s)
-            raise Cut
-        gone = asyncio.ensure_future(wait_until_gone(receive))
+            self.crash(self.faults.down_s)
+            raise Interrupted
+        disconnected = asyncio.ensure_future(wait_for_disconnect(receive))
         try:
-            await self._work(work, gone)
-            await self._send_answer(work, send, gone)
+            await self._do_work(work, disconnected)
+            await self._send_response(work, send, disconnected)
         finally:
-            gone.cancel()
+            disconnected.cancel()
 
-    async def _work(self, work, gone):
+    async def _do_work(self, work, disconnected):
         work_s = self._draw_work_s(work)
         deadline_s = work_s if work.deadline_s is None else work.deadline_s
-        await sleep_unless(gone, min(work_s, deadline_s))
+        await sleep_unless_disconnected(disconnected, min(work_s, deadline_s))
         if work_s > deadline_s:
-            raise Expired
+            raise DeadlineExceeded
 
-    async def _send_answer(self, work, send, gone):
-        status, headers, body = self._make_answer(work)
+    async def _send_response(self, work, send, disconnected):
+        status, headers, body = self._make_response(work)
         headers.append((b"content-length", str(len(body)).encode()))
         headers.append((b"request-id", work.request_id.encode()))
         await send(
             {"type": "http.response.start", "status": status, "headers": headers}
         )
-        if self.switches.truncate_next > 0:
-            self.switches.truncate_next -= 1
+        if self.faults.truncate_next > 0:
+            self.faults.truncate_next -= 1
             await send(_make_chunk(body[: len(body) // 2], more=True))
             reset(work.transport)
-            raise Cut
-        if self.switches.late_s:
-            await sleep_unless(gone, self.switches.late_s)
+            raise Interrupted
+        if self.faults.late_s:
+            await sleep_unless_disconnected(disconnected, self.faults.late_s)
         for start in range(0, len(body) - CHUNK_BYTES, CHUNK_BYTES):
             await send(_make_chunk(body[start : start + CHUNK_BYTES], more=True))
-            await sleep_unless(gone, work.chunk_s)
+            await sleep_unless_disconnected(disconnected, work.chunk_s)
         last = max(0, len(body) - 1) // CHUNK_BYTES * CHUNK_BYTES
-        # The slot is free when the work is done, which is before the peer
-        # can have read the last byte.
-        self._end(work)
+        # The slot is freed when the work is done, before the peer can have
+        # read the last byte.
+        self._free_slot(work)
         self.counts["finished"] += 1
         await send(_make_chunk(body[last:], more=False))
 
-    def _make_answer(self, work):
+    def _make_response(self, work):
         if not work.bundle:
             headers = [(b"content-type", b"application/json")]
             return 200, headers, make_body(work.id, self.id)
@@ -228,32 +232,32 @@
         headers.append((b"content-range", content_range))
         return 206, headers, bundle[start:]
 
-    def _find_refusal(self):
-        if self.switches.draining and self.switches.refuses_when_draining:
+    def _get_refusal(self):
+        if self.faults.draining and self.faults.refuses_when_draining:
             self.counts["refused_draining"] += 1
-            self._note_sent_after_drain()
+            self._record_sent_after_drain()
             return b"draining"
-        if self._random.random() < self.switches.shed_share:
+        if self._random.random() < self.faults.shed_share:
             self.counts["shed"] += 1
             return b"shed"
         return None
 
-    def _begin(self):
+    def _occupy_slot(self):
         self.busy += 1
         self.most_busy = max(self.most_busy, self.busy)
         self.counts["begun"] += 1
         if self.busy > self._slots:
             self.counts["over_slots"] += 1
-        if self.switches.draining:
+        if self.faults.draining:
             self.counts["begun_after_drain"] += 1
-            self._note_sent_after_drain()
-        self._note_state()
+            self._record_sent_after_drain()
+        self._record_state()
 
-    def _end(self, work):
-        if not work.ended:
-            work.ended = True
+    def _free_slot(self, work):
+        if not work.slot_freed:
+            work.slot_freed = True
             self.busy -= 1
-            self._note_state()
+            self._record_state()
 
     def _draw_work_s(self, work):
         if work.work_s is not None:
@@ -261,22 +265,22 @@
         else:
             mean_s = self._work_s * self._random.uniform(0.5, 1.5)
         now = asyncio.get_running_loop().time()
-        cold_share = self._read_cold_share(now)
-        cold_factor = 1 + (self.switches.cold_factor - 1) * cold_share
-        return mean_s * self.switches.slow_factor * cold_factor
+        cold_share = self._get_cold_share(now)
+        cold_factor = 1 + (self.faults.cold_factor - 1) * cold_share
+        return mean_s * self.faults.slow_factor * cold_factor
 
-    def _note_sent_after_drain(self):
+    def _record_sent_after_drain(self):
         now = asyncio.get_running_loop().time()
         self.last_sent_after_drain_s = now - self._drained_at
 
-    def _read_cold_share(self, now):
-        left_s = self._started_at + self.switches.cold_s - now
-        return max(0.0, left_s) / (self.switches.cold_s or 1.0)
+    def _get_cold_share(self, now):
+        remaining_s = self._started_at + self.faults.cold_s - now
+        return max(0.0, remaining_s) / (self.faults.cold_s or 1.0)
 
-    def _note_state(self):
+    def _record_state(self):
         now = asyncio.get_running_loop().time()
-        state = "draining" if self.switches.draining else "ready"
-        if state == "ready" and self._read_cold_share(now) > 0:
+        state = "draining" if self.faults.draining else "ready"
+        if state == "ready" and self._get_cold_share(now) > 0:
             state = "cold"
         for history, value in (
             (self._load_history, self.busy),
@@ -296,14 +300,15 @@
     return {"type": "http.response.body", "body": body, "more_body": more}
 
 
-async def _answer(send, status, body, headers=()):
+async def _respond(send, status, body, headers=()):
     length = (b"content-length", str(len(body)).encode())
     start = {"status": status, "headers": [length, *headers]}
     await send({"type": "http.response.start", **start})
     await send(_make_chunk(body, more=False))
 
 
-def _read_lagging(history, lag_s):
+def _get_delayed(history, lag_s):
+    """Return the value of ``lag_s`` ago, else the oldest, else ``None``."""
     now = asyncio.get_running_loop().time()
-    shown = [value for set_at, value in history if set_at <= now - lag_s]
-    return shown[-1] if shown else (history[0][1] if history else None)
+    visible = [value for set_at, value in history if set_at <= now - lag_s]
+    return visible[-1] if visible else (history[0][1] if history else None)
--- a/godwitlanding/tests/standins/listener.py
+++ b/godwitlanding/tests/standins/listener.py
@@ -1,8 +1,8 @@
-"""An HTTP server of a stand-in that can die and come back in one process.
+"""An HTTP server that can crash and restart within one process.
 
-uvicorn's own server serves until its process ends. A stand-in that hosts
-many upstreams has to crash one of them: refuse its connections and reset
-those that are open, while its neighbours go on.
+uvicorn's own server runs until its process ends. A stand-in that hosts many
+upstreams must be able to crash one of them, that is, refuse new connections
+to it and reset the open ones, while the other upstreams keep serving.
 """
 
 import asyncio
@@ -19,13 +19,15 @@
 
 
 class _Protocol(HttpToolsProtocol):
+    """Passes its transport to the app, which can then reset it."""
+
     def on_message_begin(self):
         super().on_message_begin()
         self.scope["state"]["transport"] = self.transport
 
 
 class Listener:
-    """Serves an ASGI app at ``host:port``."""
+    """Serves an ASGI app on ``host:port``."""
 
     def __init__(self, app, host, port):
         self._config = Config(
@@ -46,11 +48,11 @@
 
     @property
     def is_open(self):
-        """Tell whether it listens."""
+        """Tell whether the server is listening."""
         return self._server is not None
 
     async def start(self):
-        """Listen; raises ``OSError`` where the port cannot be had."""
+        """Start listening; raises ``OSError`` if the port is not available."""
 
         def make_protocol():
             return _Protocol(self._config, self._state, {})
@@ -70,7 +72,7 @@
 
 
 def reset(transport):
-    """End a connection so that its peer sees a reset, not an end of file."""
+    """Abort a connection so that the peer sees a reset, not an end of file."""
     sock = transport.get_extra_info("socket")
     if sock is not None and not transport.is_closing():
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
--- a/godwitlanding/tests/standins/peers.py
+++ b/godwitlanding/tests/standins/peers.py
@@ -1,4 +1,4 @@
-"""Stand-ins of a zone daemon and of a zone's other members."""
+"""Stand-ins for a zone daemon and for the other members of a zone."""
 
 import asyncio
 
@@ -13,11 +13,11 @@
 from godwitlanding.base.metrics import Counters
 from godwitlanding.base.wire import Pool, Server
 
-HEARTBEAT_S = 0.3
+HEARTBEAT_INTERVAL_S = 0.3
 
 
 class StandinZoneDaemon:
-    """A zone daemon that only pushes states to whoever subscribes."""
+    """A zone daemon that only sends states to its subscribers."""
 
     def __init__(self, states, vm="vm", zone="zone"):
         self.states = list(states)
@@ -26,7 +26,7 @@
         self.server = Server(hello, handlers, Counters())
 
     async def push(self, state):
-        """Send a changed state to every subscriber."""
+        """Add a changed state and send it to every subscriber."""
         self.states.append(state)
         for channel in self.server.channels:
             channel.send(state)
@@ -38,44 +38,47 @@
         for state in list(self.states):
             if state.kind in kinds:
                 channel.send(state)
-                # The real daemon lets others in between two pieces as well.
+                # The real daemon also yields to other tasks between states.
                 await asyncio.sleep(0.001)
 
     async def _fetch(self, channel, message):
-        wanted = (message.kind, message.name)
-        found = [s for s in self.states if (s.kind, s.name) == wanted]
+        key = (message.kind, message.name)
+        found = [s for s in self.states if (s.kind, s.name) == key]
         return found[-1] if found else None
 
 
 class StandinPeer:
-    """Another member of the zone that only sends and takes heartbeats."""
+    """A member of the zone that only sends and accepts heartbeats.
 
-    def __init__(self, vm, address, zone, port, dials):
+    ``daemon_address`` is where it sends them.
+    """
+
+    def __init__(self, vm, address, zone, port, daemon_address):
         self.versions = ()
         self._vm = vm
         self._address = address
         self._port = port
-        self._dials = dials
+        self._daemon_address = daemon_address
         hello = Hello(PROTOCOL_VERSION, "zone", vm, zone, f"{vm}-1")
-        handlers = {Heartbeat: self._take, State: self._take}
+        handlers = {Heartbeat: self._ignore, State: self._ignore}
         self._server = Server(hello, handlers, Counters())
         self._pool = Pool(hello, handlers, Counters())
 
     async def start(self):
-        """Listen and begin the heartbeats."""
+        """Start the server and the heartbeats."""
         await self._server.start(self._address, self._port)
-        self._task = asyncio.ensure_future(self._beat())
+        self._task = asyncio.ensure_future(self._send_heartbeats())
 
     async def stop(self):
-        """End the heartbeats."""
+        """Stop the heartbeats, the connections and the server."""
         self._task.cancel()
         await self._pool.stop()
         await self._server.stop()
 
-    async def _take(self, channel, message):
+    async def _ignore(self, channel, message):
         return None
 
-    async def _beat(self):
+    async def _send_heartbeats(self):
         while True:
             heartbeat = Heartbeat(
                 self._vm,
@@ -86,5 +89,5 @@
                 False,
                 self._address,
             )
-            await self._pool.send(self._dials, heartbeat)
-            await asyncio.sleep(HEARTBEAT_S)
+            await self._pool.send(self._daemon_address, heartbeat)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
--- a/godwitlanding/tests/standins/standin_store.py
+++ b/godwitlanding/tests/standins/standin_store.py
@@ -1,13 +1,19 @@
-"""A small stand-in of the users' metadata store, with faults to turn on.
-
-It keeps objects in memory and speaks the store's protocol as its page has
-it. ``faults`` say how it misbehaves: ``status`` answers every call with that
-status, ``lose_answers`` does what is asked and then resets the connection,
-``silent`` never answers, ``delay_s`` does what is asked late and
-``delay_answer_s`` answers late, ``deaf`` lets watches hear nothing. It may
-come back from an older copy (``take_copy``, ``come_back``); its revisions
-then go back and are given out again. Lists that may be old are answered from
-``old_copy`` where there is one.
+"""In-memory stand-in for the users' metadata store, with injectable faults.
+
+It implements the store's documented protocol. ``faults`` has these settings:
+
+- ``status``: respond to every call with this status.
+- ``lose_answers``: for so many calls, execute the call, then reset the
+  connection.
+- ``silent``: never respond.
+- ``delay_s``: delay the execution of a call.
+- ``delay_answer_s``: delay the response.
+- ``drop_events``: watches return no events.
+
+The store can be restored from an older copy (``take_copy``,
+``restore_copy``). Its revision then goes back, and later changes reuse the
+same revisions. If ``old_copy`` is set, lists that accept stale data are
+served from it.
 """
 
 import asyncio
@@ -24,14 +30,17 @@
 
 
 class StoreCopy(NamedTuple):
-    """What the store held at a revision."""
+    """The objects of the store at a revision."""
 
     revision: int
     object_by_name_by_kind: dict
 
 
 class StandinStore:
-    """The store's objects by kind and name, and who watches them."""
+    """The store's HTTP server and its objects by kind and name.
+
+    ``calls`` has the method, path and query of each call received.
+    """
 
     def __init__(self, host, port):
         self.address = (host, port)
@@ -43,38 +52,39 @@
             silent=False,
             delay_s=0.0,
             delay_answer_s=0.0,
-            deaf=False,
+            drop_events=False,
         )
         self.old_copy = None
-        # What the operator and the upstreams wrote last, ``None`` for removed.
+        # The last spec written by the operator or an upstream, ``None`` if
+        # the object was removed.
         self._spec_by_key = {}
         self.calls = []
-        # Bytes of the objects, or of the whole body, that each list and
-        # watch is answered with in place of what is held.
+        # Raw bytes of the objects, or of the whole body, that replace the
+        # stored objects in the response to each list and watch.
         self.raw_items = []
         self.raw_body = b""
         self._object_by_name_by_kind = {}
         self._events = []
-        self._oldest = 0
+        self._history_start = 0
         self._changed = asyncio.Condition()
-        self._cut = 0
+        self._watch_generation = 0
         self._listener = Listener(self._make_app(), host, port)
 
     async def start(self):
-        """Listen."""
+        """Start listening."""
         await self._listener.start()
         return self
 
     def crash(self):
-        """Refuse connections and reset those that are open."""
+        """Stop listening and reset all connections."""
         self._listener.crash()
 
     async def put(self, kind, name, spec):
-        """Write as the operator or an upstream does."""
+        """Write an object as the operator or an upstream does."""
         self._spec_by_key[kind, name] = spec
-        held = self._get_kind(kind).get(name)
-        created = held["metadata"]["create_rev"] if held else self.revision + 1
-        await self._write(kind, name, spec, created)
+        stored = self._get_kind(kind).get(name)
+        create_rev = stored["metadata"]["create_rev"] if stored else self.revision + 1
+        await self._write(kind, name, spec, create_rev)
 
     async def remove(self, kind, name):
         """Remove an object as the platform does."""
@@ -82,29 +92,32 @@
         await self._remove(kind, name)
 
     async def forget_history(self):
-        """Drop the history and cut every watch."""
-        self._oldest = self.revision
-        self._cut += 1
+        """Drop the history and reset every watch."""
+        self._history_start = self.revision
+        self._watch_generation += 1
         async with self._changed:
             self._changed.notify_all()
 
     def take_copy(self):
-        """Return a copy from which the store may come back."""
+        """Return a copy for ``restore_copy``."""
         kinds = self._object_by_name_by_kind.items()
-        return StoreCopy(self.revision, {kind: dict(held) for kind, held in kinds})
+        return StoreCopy(self.revision, {kind: dict(stored) for kind, stored in kinds})
 
     async def restore_copy(self, copy):
-        """Lose all that was written since ``copy`` was taken; cut watches."""
+        """Discard all changes made since ``copy`` was taken; reset watches."""
         self.era += 1
         self.revision = copy.revision
         self._object_by_name_by_kind = copy.object_by_name_by_kind
         self._events = [event for event in self._events if event[0] <= copy.revision]
-        self._cut += 1
+        self._watch_generation += 1
         async with self._changed:
             self._changed.notify_all()
 
     async def rewrite_changed(self):
-        """Write what the operator and the upstreams wrote and find changed."""
+        """Write again the specs that a restore has changed.
+
+        The operator and the upstreams do this after a restore.
+        """
         for (kind, name), spec in list(self._spec_by_key.items()):
             if spec == self.get_spec(kind, name):
                 continue
@@ -114,7 +127,7 @@
                 await self.put(kind, name, spec)
 
     def get_spec(self, kind, name):
-        """Return what an object holds, ``None`` where there is none."""
+        """Return the spec of an object, ``None`` if it does not exist."""
         item = self._get_kind(kind).get(name)
         return item and item["spec"]
 
@@ -124,25 +137,25 @@
     async def _remove(self, kind, name):
         item = self._get_kind(kind).pop(name, None)
         if item:
-            await self._tell(kind, item, True)
+            await self._publish(kind, item, True)
 
-    async def _write(self, kind, name, spec, created):
+    async def _write(self, kind, name, spec, create_rev):
         metadata = {
             "name": name,
             "rev": self.revision + 1,
-            "create_rev": created,
+            "create_rev": create_rev,
             "finalizers": [],
             "deleting": False,
         }
         item = {"metadata": metadata, "spec": spec, "status": None}
         self._get_kind(kind)[name] = item
-        await self._tell(kind, item, False)
+        await self._publish(kind, item, False)
         return item
 
-    async def _tell(self, kind, item, removed):
+    async def _publish(self, kind, item, removed):
         self.revision += 1
         if removed:
-            # The removal is the object's last change.
+            # The removal counts as the last change of the object.
             metadata = {**item["metadata"], "rev": self.revision}
             item = {**item, "metadata": metadata}
         self._events.append((self.revision, kind, {"object": item, "removed": removed}))
@@ -162,12 +175,12 @@
         )
 
     async def _serve(self, request):
-        answer = await self._find_answer(request)
-        answer.headers["Store-Era"] = str(self.era)
+        response = await self._respond_with_faults(request)
+        response.headers["Store-Era"] = str(self.era)
         await asyncio.sleep(self.faults.delay_answer_s)
-        return answer
+        return response
 
-    async def _find_answer(self, request):
+    async def _respond_with_faults(self, request):
         faults = self.faults
         kind = request.path_params["kind"]
         self.calls.append(
@@ -178,13 +191,13 @@
         if faults.status:
             return JSONResponse({}, status_code=faults.status)
         await asyncio.sleep(faults.delay_s)
-        answer = await self._answer(request, kind)
+        response = await self._dispatch(request, kind)
         if faults.lose_answers:
             faults.lose_answers -= 1
             reset(request.scope["state"]["transport"])
-        return answer
+        return response
 
-    async def _answer(self, request, kind):
+    async def _dispatch(self, request, kind):
         name = request.path_params.get("name")
         if self.raw_items or self.raw_body:
             return Response(self.raw_body or self._make_raw(request))
@@ -194,12 +207,12 @@
             return await self._watch(kind, request)
         if name is None:
             return self._list(kind, request.query_params)
-        held = self._get_kind(kind).get(name)
-        if held is None:
+        stored = self._get_kind(kind).get(name)
+        if stored is None:
             return JSONResponse({}, status_code=404)
         if request.method == "GET":
-            return JSONResponse(held)
-        return await self._change(request, kind, name, held)
+            return JSONResponse(stored)
+        return await self._modify(request, kind, name, stored)
 
     def _make_raw(self, request):
         if "watch" not in request.query_params:
@@ -211,39 +224,39 @@
 
     async def _create(self, kind, body):
         name = body["metadata"]["name"]
-        held = self._get_kind(kind).get(name)
-        if held:
-            return JSONResponse(held, status_code=409)
+        stored = self._get_kind(kind).get(name)
+        if stored:
+            return JSONResponse(stored, status_code=409)
         return JSONResponse(
             await self._write(kind, name, body["spec"], self.revision + 1)
         )
 
-    async def _change(self, request, kind, name, held):
+    async def _modify(self, request, kind, name, stored):
         if request.method == "DELETE":
-            wanted = request.query_params.get("rev")
-            if wanted and int(wanted) != held["metadata"]["rev"]:
-                return JSONResponse(held, status_code=409)
+            expected_rev = request.query_params.get("rev")
+            if expected_rev and int(expected_rev) != stored["metadata"]["rev"]:
+                return JSONResponse(stored, status_code=409)
             await self._remove(kind, name)
-            return JSONResponse(held)
+            return JSONResponse(stored)
         body = await request.json()
-        wanted = body["metadata"].get("rev")
-        if wanted and wanted != held["metadata"]["rev"]:
-            return JSONResponse(held, status_code=409)
-        if body["spec"] == held["spec"]:
-            return JSONResponse(held)
-        created = held["metadata"]["create_rev"]
-        return JSONResponse(await self._write(kind, name, body["spec"], created))
+        expected_rev = body["metadata"].get("rev")
+        if expected_rev and expected_rev != stored["metadata"]["rev"]:
+            return JSONResponse(stored, status_code=409)
+        if body["spec"] == stored["spec"]:
+            return JSONResponse(stored)
+        create_rev = stored["metadata"]["create_rev"]
+        return JSONResponse(await self._write(kind, name, body["spec"], create_rev))
 
     def _list(self, kind, query):
-        held = self._get_kind(kind)
+        stored = self._get_kind(kind)
         if self.old_copy and "stale_ok" in query:
-            held = self.old_copy.object_by_name_by_kind.get(kind, {})
+            stored = self.old_copy.object_by_name_by_kind.get(kind, {})
         after = query.get("after", "")
-        names = sorted(name for name in held if name > after)
+        names = sorted(name for name in stored if name > after)
         page = names[:PAGE_ITEMS]
         return JSONResponse(
             {
-                "items": [held[name] for name in page],
+                "items": [stored[name] for name in page],
                 "more": len(names) > len(page),
                 "store_revision": self.revision,
             }
@@ -252,22 +265,25 @@
     async def _watch(self, kind, request):
         after = int(request.query_params["watch"])
         wait_s = int(request.query_params.get("wait_ms", 0)) / 1000
-        cut = self._cut
-        is_known = self._oldest <= after <= self.revision
-        if not is_known and not self.faults.deaf:
+        watch_generation = self._watch_generation
+        is_in_history = self._history_start <= after <= self.revision
+        if not is_in_history and not self.faults.drop_events:
             return JSONResponse({}, status_code=410)
 
-        def find():
-            if self.faults.deaf:
+        def find_events():
+            if self.faults.drop_events:
                 return []
             return [e for rev, k, e in self._events if rev > after and k == kind]
 
         async with self._changed:
             try:
                 async with asyncio.timeout(wait_s):
-                    await self._changed.wait_for(lambda: find() or self._cut != cut)
+                    await self._changed.wait_for(
+                        lambda: find_events()
+                        or self._watch_generation != watch_generation
+                    )
             except TimeoutError:
                 pass
-        if self._cut != cut:
+        if self._watch_generation != watch_generation:
             reset(request.scope["state"]["transport"])
-        return JSONResponse({"events": find(), "store_revision": self.revision})
+        return JSONResponse({"events": find_events(), "store_revision": self.revision})
--- a/godwitlanding/tests/standins/standin_upstream.py
+++ b/godwitlanding/tests/standins/standin_upstream.py
@@ -1,8 +1,8 @@
-"""A stand-in for licensed upstreams, for tests and the demo.
+"""Simulates all licensed upstreams of a configuration in one process.
 
-Hosts every upstream of a configuration text on its own address and serves
-``docs/upstream_api.rst`` there; switches and counts stand under
-``/standin/`` at the control address.
+For tests and the demo. Each upstream serves ``docs/upstream_api.rst`` on its
+own address. Faults are set and counters are read under ``/standin/`` at the
+control address.
 
     python -m godwitlanding.tests.standins.standin_upstream \\
         --config samples/demo.json5 --control 127.0.0.9:8001
@@ -21,8 +21,8 @@
 from godwitlanding.tests.standins.listener import Listener
 
 
-class Fleet:
-    """All upstreams of a process."""
+class UpstreamGroup:
+    """The simulated upstreams of a process and their control API."""
 
     def __init__(self, config, availability_zones=(), seed=0):
         self.executions = Executions()
@@ -53,41 +53,41 @@
             await upstream.start()
 
     def stop(self):
-        """End every upstream for good."""
+        """Stop every upstream without a later restart."""
         for upstream in self.upstream_by_id.values():
             upstream.stop()
 
     async def get_stats(self, request):
-        """Answer each upstream's counts."""
+        """Respond with the counters of each upstream."""
         stats = {id: u.get_stats() for id, u in self.upstream_by_id.items()}
         return JSONResponse(stats)
 
     async def get_executions(self, request):
-        """Answer how often each piece of non-idempotent work ran."""
+        """Respond with how often each non-idempotent request ran."""
         executions = self.executions
         return JSONResponse(
             {"by_id": executions.count_by_id, "by_key": executions.count_by_key}
         )
 
     async def change(self, request):
-        """Turn switches of one upstream, or of all with the id ``all``."""
-        chosen = self._find(request)
+        """Set faults of one upstream, or of all with the id ``all``."""
+        selected = self._find_upstreams(request)
         try:
             values = await request.json()
-            for upstream in chosen:
+            for upstream in selected:
                 upstream.change(values)
         except ValueError as error:
             return JSONResponse({"error": str(error)}, status_code=400)
-        return JSONResponse({"changed": len(chosen)})
+        return JSONResponse({"changed": len(selected)})
 
     async def crash(self, request):
-        """Crash an upstream for ``down_s`` of the query."""
-        chosen = self._find(request)
-        for upstream in chosen:
+        """Crash an upstream for the seconds ``down_s`` in the query."""
+        selected = self._find_upstreams(request)
+        for upstream in selected:
             upstream.crash(float(request.query_params.get("down_s", 3.0)))
-        return JSONResponse({"changed": len(chosen)})
+        return JSONResponse({"changed": len(selected)})
 
-    def _find(self, request):
+    def _find_upstreams(self, request):
         upstream_id = request.path_params["id"]
         if upstream_id == "all":
             return list(self.upstream_by_id.values())
@@ -96,24 +96,28 @@
 
 
 def parse_arguments(argv=None):
-    """Return the arguments."""
+    """Return the command line's arguments."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    parser.add_argument("--config", required=True, help="Configuration text to read")
+    parser.add_argument("--config", required=True, help="Configuration file to read")
     parser.add_argument(
-        "--control", default="127.0.0.9:8001", help="IP:port of control"
+        "--control", default="127.0.0.9:8001", help="IP:port of the control API"
+    )
+    parser.add_argument(
+        "--zones", nargs="*", default=[], help="Simulate only upstreams of these zones"
+    )
+    parser.add_argument(
+        "--seed", type=int, default=0, help="Seed of the random working times"
     )
-    parser.add_argument("--zones", nargs="*", default=[], help="Only these zones")
-    parser.add_argument("--seed", type=int, default=0, help="Seed of working times")
     return parser.parse_args(argv)
 
 
 async def serve(arguments):
-    """Serve until the process is ended."""
+    """Serve until the process is stopped."""
     config = parse_config(Path(arguments.config).read_text()).unwrap()
-    fleet = Fleet(config, arguments.zones, arguments.seed)
-    await fleet.start()
+    upstream_group = UpstreamGroup(config, arguments.zones, arguments.seed)
+    await upstream_group.start()
     host, _, port = arguments.control.rpartition(":")
-    await Listener(fleet.make_app(), host, int(port)).start()
+    await Listener(upstream_group.make_app(), host, int(port)).start()
     print("ready", flush=True)
     await asyncio.Event().wait()
 
--- a/godwitlanding/tests/standins/standin_worker.py
+++ b/godwitlanding/tests/standins/standin_worker.py
@@ -1,7 +1,7 @@
-"""A small stand-in of the users' upstreams: slots, a queue, and its own word.
+"""Simulates one of the users' upstreams with slots, a queue and load reports.
 
-It answers with the request's id and a proof, refuses what names another
-upstream, and counts which request ids it has run.
+Its responses carry the request id and a signature. It rejects requests that
+name another instance, and records the ids of the requests that it has run.
 """
 
 import asyncio
@@ -10,22 +10,24 @@
 from godwitlanding.tests.standins.listener import reset
 
 _SLOTS = 3
-_QUEUE = 9
-# Some 4 KB with ids of ten letters: more than one packet.
-ECHO_TIMES = 400
+_QUEUE_LENGTH = 9
+# About 4 KB with ids of ten letters, which is more than one packet.
+ECHO_REPEATS = 400
 
 
 def make_echo(request_id):
-    """Return the body of an answer that can be told from any other."""
-    return request_id * ECHO_TIMES
+    """Return a response body that is unique to the request."""
+    return request_id * ECHO_REPEATS
 
 
 class StandinWorker:
-    """One upstream at ``address``; ``faults`` apply to the next requests.
+    """A simulated upstream at ``address``.
 
-    ``fault`` is empty or one of ``crash`` (resets without an answer),
-    ``shed`` (refuses, not run), ``fail`` (answers 500), ``cut`` (ends amid
-    its answer).
+    ``fault`` applies to all following requests. It is empty or one of
+    ``crash`` (stops listening and resets all connections instead of
+    responding), ``reset`` (resets the connection of the request), ``shed``
+    (rejects without running), ``fail`` (responds with 500) and ``cut``
+    (closes the connection within the response body).
     """
 
     def __init__(self, worker_id, service, host, port, zone, work_s=0.02):
@@ -35,42 +37,42 @@
         self.zone = zone
         self.work_s = work_s
         self.fault = ""
-        # Requests a second that it says it takes, as its answers spell it.
+        # Requests per second that its responses report as its limit, as text.
         self.limit = ""
-        # Whether its answers say that it leaves.
+        # Whether its responses report that it is leaving.
         self.leaving = False
-        # Seconds that it wants nothing after it has turned a request away.
+        # Retry-After in seconds of rejected requests, as text; empty: none.
         self.retry_after = ""
-        # When each request reached it, on the loop's clock, by its id, and of
-        # those that it turned away with a pause.
+        # Id and arrival time (loop clock) of each request, and of those that
+        # were rejected with a Retry-After.
         self.arrivals = []
         self.paused = []
         self.ran = []
-        # When each request began to run, on the loop's clock.
+        # When each request began to run (loop clock).
         self.ran_at = []
-        # Milliseconds that each request's sender would wait, as it said.
+        # The remaining deadline of each request in milliseconds.
         self.deadlines_ms = []
-        # A path that ends this upstream as soon as it begins to run it.
+        # A request for this path crashes the upstream when it begins to run.
         self.crash_path = ""
-        # Whether answers hold the request's id, many times.
+        # Whether response bodies repeat the request id (``make_echo``).
         self.echoes = False
         self.bodies = {}
-        # The headers that each request came with, by its id.
+        # The headers of each request by its id.
         self.headers_by_request = {}
         self.dropped = 0
         self.connections = set()
         self._slots = asyncio.Semaphore(_SLOTS)
-        self._inside = 0
+        self._in_progress = 0
         self._path = ""
         self._server = None
 
     @property
     def arrived_at(self):
-        """Return when each request reached it."""
+        """Return the arrival time of each request."""
         return [at for _, at in self.arrivals]
 
     def make_entry(self, state="ready"):
-        """Return its entry in the store."""
+        """Return the upstream's entry for the store."""
         host, port = self.address
         return {
             "service": self.service,
@@ -84,12 +86,12 @@
         }
 
     async def start(self):
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._serve, *self.address)
         return self
 
     def stop(self):
-        """Listen no longer and reset what is open."""
+        """Stop listening and reset all connections."""
         if self._server:
             self._server.close()
         for writer in list(self.connections):
@@ -105,14 +107,14 @@
                 length = int(headers.get(b"content-length", 0))
                 body = await reader.readexactly(length)
                 self._path = head.split(b" ", 2)[1].decode()
-                await self._answer(reader, writer, headers, body)
+                await self._handle_request(reader, writer, headers, body)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
             self.connections.discard(writer)
             writer.close()
 
-    async def _answer(self, reader, writer, headers, body):
+    async def _handle_request(self, reader, writer, headers, body):
         request_id = headers[b"godwitlanding-request-id"]
         expected = headers.get(b"godwitlanding-expect-instance", b"").decode()
         if expected != self.id:
@@ -120,59 +122,60 @@
             return
         arrival = (request_id.decode(), asyncio.get_running_loop().time())
         self.arrivals.append(arrival)
-        if self.fault == "shed" or self._inside >= _SLOTS + _QUEUE:
+        if self.fault == "shed" or self._in_progress >= _SLOTS + _QUEUE_LENGTH:
             extra = b"Godwitlanding-Not-Executed: 1\r\n"
             if self.retry_after:
                 extra += b"Retry-After: %b\r\n" % self.retry_after.encode()
                 self.paused.append(arrival)
             self._write(writer, b"503 Service Unavailable", request_id, b"", extra)
             return
-        self._inside += 1
+        self._in_progress += 1
         try:
             async with self._slots:
                 self.ran.append(request_id.decode())
                 self.ran_at.append(asyncio.get_running_loop().time())
                 self.bodies[request_id.decode()] = body
                 self.headers_by_request[request_id.decode()] = headers
-                left = headers.get(b"godwitlanding-deadline-ms", b"0")
-                self.deadlines_ms.append(int(left))
+                deadline_ms = headers.get(b"godwitlanding-deadline-ms", b"0")
+                self.deadlines_ms.append(int(deadline_ms))
                 if self.crash_path and self._path == self.crash_path:
                     self.stop()
-                    raise ConnectionError("crashed by the request")
-                await self._work(reader)
+                    raise ConnectionError("the request crashed the upstream")
+                await self._do_work(reader)
         finally:
-            self._inside -= 1
-        self._finish(writer, request_id)
+            self._in_progress -= 1
+        self._respond(writer, request_id)
 
-    async def _work(self, reader):
-        # Bytes or an end while it works mean that the sender has gone.
+    async def _do_work(self, reader):
+        # Data or an end of file during the work means that the sender has
+        # disconnected.
         try:
             async with asyncio.timeout(self.work_s):
                 await reader.read(1)
             self.dropped += 1
-            raise ConnectionError("the sender has gone")
+            raise ConnectionError("the sender has disconnected")
         except TimeoutError:
             pass
 
-    def _finish(self, writer, request_id):
-        proof = b"Godwitlanding-Response-Signature: proof\r\n"
+    def _respond(self, writer, request_id):
+        signature_header = b"Godwitlanding-Response-Signature: proof\r\n"
         if self.fault == "crash":
             self.stop()
         elif self.fault == "reset":
             reset(writer.transport)
         elif self.fault == "fail":
             status = b"500 Internal Server Error"
-            self._write(writer, status, request_id, b"failed", proof)
+            self._write(writer, status, request_id, b"failed", signature_header)
         elif self.fault == "cut":
             head = b"HTTP/1.1 200 OK\r\nGodwitlanding-Request-Id: %b\r\n%b"
-            writer.write(head % (request_id, proof))
+            writer.write(head % (request_id, signature_header))
             writer.write(b"Content-Length: 100\r\n\r\nhalf")
             writer.close()
         else:
             body = f"done by {self.id}".encode()
             if self.echoes:
                 body = make_echo(request_id)
-            self._write(writer, b"200 OK", request_id, body, proof)
+            self._write(writer, b"200 OK", request_id, body, signature_header)
 
     def _write(self, writer, status, request_id, body, extra=b""):
         if self.limit:
@@ -182,5 +185,5 @@
         writer.write(
             b"HTTP/1.1 %b\r\nGodwitlanding-Request-Id: %b\r\n"
             b"Godwitlanding-Load-Report: %d,0,3\r\n%bContent-Length: %d\r\n\r\n%b"
-            % (status, request_id, self._inside, extra, len(body), body)
+            % (status, request_id, self._in_progress, extra, len(body), body)
         )
--- a/godwitlanding/tests/standins/upstreamfaults.py
+++ b/godwitlanding/tests/standins/upstreamfaults.py
@@ -1,10 +1,13 @@
-"""The switches by which an upstream stand-in is made to fail."""
+"""Fault settings of a simulated upstream."""
 
 HEALTH_MODES = ("true", "always_ok", "always_bad", "hang")
 
 
-class Switches:
-    """What is wrong with an upstream just now."""
+class UpstreamFaults:
+    """The faults that a simulated upstream currently has.
+
+    The attribute names are the keys of the control API.
+    """
 
     def __init__(self):
         self.draining = False
@@ -22,8 +25,8 @@
         self.down_s = 3.0
 
     def change(self, values):
-        """Set the switches named; ``ValueError`` for one there is not."""
+        """Set the given faults; raises ``ValueError`` for an unknown one."""
         unknown = set(values) - set(vars(self))
         if unknown or values.get("health", "true") not in HEALTH_MODES:
-            raise ValueError(f"no such switch: {values}")
+            raise ValueError(f"unknown fault or health mode in {values}")
         vars(self).update(values)
--- a/godwitlanding/tests/standins/workrequest.py
+++ b/godwitlanding/tests/standins/workrequest.py
@@ -1,22 +1,22 @@
-"""What a request asks an upstream stand-in to do, and how it is cut."""
+"""Parses requests to a simulated upstream and detects disconnects."""
 
 import asyncio
 from urllib.parse import parse_qs
 
 
-class Cut(Exception):
-    """The peer has gone or the upstream has crashed."""
+class Interrupted(Exception):
+    """The peer has disconnected or the upstream has crashed."""
 
 
-class Expired(Exception):
-    """The request's deadline has passed."""
+class DeadlineExceeded(Exception):
+    """The deadline of the request has passed."""
 
 
-class Work:
-    """One request, as its path's query and headers describe it."""
+class WorkRequest:
+    """The work that the query and the headers of a request describe."""
 
     def __init__(self, scope):
-        self.ended = False
+        self.slot_freed = False
         self.method = scope["method"]
         self.transport = scope["state"]["transport"]
         self._header_by_name = {k.decode(): v.decode() for k, v in scope["headers"]}
@@ -35,32 +35,32 @@
         self.deadline_s = float(deadline) if deadline else None
 
     def read_range_start(self, etag):
-        """Return where an open range starts, ``None`` for the whole."""
-        wanted = self._header_by_name.get("range", "")
+        """Return the start of an open-ended range, ``None`` if not used."""
+        range_header = self._header_by_name.get("range", "")
         if_range = self._header_by_name.get("if-range", etag)
-        number = wanted.removeprefix("bytes=").removesuffix("-")
+        number = range_header.removeprefix("bytes=").removesuffix("-")
         return int(number) if number.isdecimal() and if_range == etag else None
 
 
 async def read_body(receive):
-    """Read the request to its end; ``Cut`` where it breaks off."""
+    """Read the whole body; raises ``Interrupted`` if the peer disconnects."""
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise Cut
+            raise Interrupted
         if not message.get("more_body"):
             return
 
 
-async def wait_until_gone(receive):
-    """Return when the peer has closed the connection."""
+async def wait_for_disconnect(receive):
+    """Wait until the peer closes the connection."""
     while (await receive())["type"] != "http.disconnect":
         pass
 
 
-async def sleep_unless(gone, seconds):
-    """Sleep; ``Cut`` as soon as the task ``gone`` has ended."""
+async def sleep_unless_disconnected(disconnected, seconds):
+    """Sleep; raises ``Interrupted`` once the task ``disconnected`` ends."""
     if seconds > 0:
-        await asyncio.wait([gone], timeout=seconds)
-    if gone.done():
-        raise Cut
+        await asyncio.wait([disconnected], timeout=seconds)
+    if disconnected.done():
+        raise Interrupted
