--- a/godwitlanding/daemons/services/arbitration.py
+++ b/godwitlanding/daemons/services/arbitration.py
@@ -25,8 +25,8 @@
 from godwitlanding.decisions.spill import LinkLimiter
 
 # A crash is told to the zone's members and to this many VMs elsewhere.
-MAX_TOLD_ELSEWHERE = 64
-_PERMIT_RANGE_BITS = 31
+MAX_REMOTE_RECIPIENTS = 64
+_FIRST_PERMIT_ID_BITS = 31
 
 
 class Arbitration(Service):
@@ -36,12 +36,12 @@
     needs = ("peers", "members", "configuration", "borrowing")
 
     def __init__(self, context):
-        self.desk_by_service = {}
+        self.permit_server_by_service = {}
         self.health_by_service = {}
         self._context = context
         self._tasks = Tasks()
         self._poison = PoisonLedger()
-        self._meter_by_zone = {}
+        self._limiter_by_zone = {}
         self._timer = None
         self._stopping = False
 
@@ -52,46 +52,46 @@
         self._borrowing = kernel.get("borrowing")
         peers = kernel.get("peers")
         self._pool = peers.pool
-        peers.handle(Acquire, self._acquire)
-        peers.handle(Release, self._release)
-        peers.handle(Withdraw, self._withdraw)
-        peers.handle(Signal, self._take_signal)
-        peers.handle(Poison, self._take_poison)
-        self._members.listen(self._choose_services)
-        self._tasks.repeat(self._context.settings["heartbeat_s"], self._renew)
+        peers.handle(Acquire, self._handle_acquire)
+        peers.handle(Release, self._handle_release)
+        peers.handle(Withdraw, self._handle_withdraw)
+        peers.handle(Signal, self._handle_signal)
+        peers.handle(Poison, self._handle_poison)
+        self._members.listen(self._update_permit_servers)
+        self._tasks.repeat(self._context.settings["heartbeat_s"], self._renew_loans)
 
     async def stop(self):
         """End the renewals and answer everyone that waits."""
-        for desk in self.desk_by_service.values():
+        for desk in self.permit_server_by_service.values():
             desk.close(Failure(Code.STOPPING.value))
         if self._timer:
             self._timer.cancel()
         await self._tasks.stop()
 
-    async def give_up(self):
+    async def hand_over(self):
         """Be the arbiter of nothing more, and say so to the owners."""
         self._stopping = True
-        self._choose_services()
+        self._update_permit_servers()
         await asyncio.sleep(0)
 
     def refresh_usable(self, service):
         """Apply health and drains to the arbiter of a service."""
-        desk = self.desk_by_service.get(service)
+        desk = self.permit_server_by_service.get(service)
         health = self.health_by_service.get(service)
         config = self._configuration.config
         if not desk or not health or not config:
             return
         now = self._now()
-        self._note_drains(config, service, health, now)
+        self._apply_drains(config, service, health, now)
         for upstream, verdict in health.get_verdicts(now).items():
             desk.answer_decisions(
                 desk.arbiter.set_usable(upstream, verdict.usable, now), now
             )
-        self._schedule()
+        self._schedule_tick()
 
     def note_cold(self, service, upstream):
         """An upstream has started again: give it work slowly."""
-        desk = self.desk_by_service[service]
+        desk = self.permit_server_by_service[service]
         now = self._now()
         desk.answer_decisions(desk.arbiter.note_cold(upstream, now), now)
 
@@ -99,7 +99,7 @@
         """Return the desks, with why upstreams are out."""
         now = self._now()
         status_by_service = {}
-        for service, desk in sorted(self.desk_by_service.items()):
+        for service, desk in sorted(self.permit_server_by_service.items()):
             health = self.health_by_service[service]
             out = {
                 upstream: verdict.why
@@ -112,45 +112,47 @@
     def _now(self):
         return asyncio.get_running_loop().time()
 
-    def _is_mine(self, service):
+    def _is_arbiter_of(self, service):
         arbiters = self._members.get_arbiters().get(service, ())
         return bool(arbiters) and arbiters[0] == self._context.vm
 
-    def _choose_services(self):
+    def _update_permit_servers(self):
         config = self._configuration.config
         if config is None:
             return
         for name, service in config.service_by_name.items():
-            mine = self._is_mine(name) and not self._stopping
-            desk = self.desk_by_service.get(name)
-            if mine and (desk is None or not desk.active):
-                self._open(service)
-            elif desk and desk.active and not mine:
-                self._close(desk)
-        for name in set(self.desk_by_service) - set(config.service_by_name):
-            if self.desk_by_service[name].active:
-                self._close(self.desk_by_service[name])
-
-    def _open(self, service):
-        desk = self.desk_by_service.get(service.name)
+            is_arbiter = self._is_arbiter_of(name) and not self._stopping
+            desk = self.permit_server_by_service.get(name)
+            if is_arbiter and (desk is None or not desk.active):
+                self._open_permit_server(service)
+            elif desk and desk.active and not is_arbiter:
+                self._close_permit_server(desk)
+        for name in set(self.permit_server_by_service) - set(config.service_by_name):
+            if self.permit_server_by_service[name].active:
+                self._close_permit_server(self.permit_server_by_service[name])
+
+    def _open_permit_server(self, service):
+        desk = self.permit_server_by_service.get(service.name)
         if desk is None:
-            first = secrets.randbits(_PERMIT_RANGE_BITS) + 1 << PERMIT_ID_BITS
+            first_permit_id = (
+                secrets.randbits(_FIRST_PERMIT_ID_BITS) + 1 << PERMIT_ID_BITS
+            )
             arbiter = Arbiter(
                 service.name,
-                first,
+                first_permit_id,
                 service.work_s,
                 service.slow_start_s,
                 self._poison,
             )
-            desk = PermitServer(self._context.incarnation, arbiter, first)
-            self.desk_by_service[service.name] = desk
+            desk = PermitServer(self._context.incarnation, arbiter, first_permit_id)
+            self.permit_server_by_service[service.name] = desk
             self.health_by_service[service.name] = UpstreamHealth()
         desk.active = True
         self._apply_config(desk, service)
         self._context.counters.add("arbiter_opened", service=service.name)
-        self._tasks.run(self._renew_desk(desk))
+        self._tasks.run(self._renew_permit_server_loans(desk))
 
-    def _close(self, desk):
+    def _close_permit_server(self, desk):
         now = self._now()
         desk.close(Failure(Code.NO_ARBITER.value))
         self._borrowing.give_back(desk)
@@ -165,101 +167,106 @@
             service.name, self._context.availability_zone
         )
         now = self._now()
-        for zone, meter in self._get_meters().items():
-            desk.arbiter.spill.set_link_limiter(zone, meter)
+        for zone, limiter in self._get_link_limiters().items():
+            desk.arbiter.spill.set_link_limiter(zone, limiter)
         desk.answer_decisions(desk.arbiter.set_allowances(allowances, now), now)
         self.refresh_usable(service.name)
 
-    def _get_meters(self):
+    def _get_link_limiters(self):
         """Return a meter a link; the services of a zone share it."""
         own = self._context.availability_zone
         for (source, target), link in self._configuration.config.link_by_zones.items():
             if source != own:
                 continue
-            meter = self._meter_by_zone.get(target)
+            limiter = self._limiter_by_zone.get(target)
             limits = (link.requests_per_s, link.bytes_per_s)
-            if meter is None or (meter.requests_per_s, meter.bytes_per_s) != limits:
-                self._meter_by_zone[target] = LinkLimiter(*limits)
-        return self._meter_by_zone
-
-    def _note_drains(self, config, service, health, now):
+            if (
+                limiter is None
+                or (limiter.requests_per_s, limiter.bytes_per_s) != limits
+            ):
+                self._limiter_by_zone[target] = LinkLimiter(*limits)
+        return self._limiter_by_zone
+
+    def _apply_drains(self, config, service, health, now):
         zone = self._context.availability_zone
         for upstream in config.service_by_name[service].get_upstreams(zone):
             leaving = config.is_drained("upstream", upstream.id, service)
             health.note_list(upstream.id, leaving, now)
 
-    async def _renew(self):
+    async def _renew_loans(self):
         config = self._configuration.config
         if config is None or not self._members.is_settled():
             return
-        self._choose_services()
+        self._update_permit_servers()
         for name, service in config.service_by_name.items():
-            desk = self.desk_by_service.get(name)
+            desk = self.permit_server_by_service.get(name)
             if desk and desk.active:
                 self._apply_config(desk, service)
-                self._tasks.run(self._renew_desk(desk))
+                self._tasks.run(self._renew_permit_server_loans(desk))
 
-    async def _renew_desk(self, desk):
+    async def _renew_permit_server_loans(self, desk):
         await self._borrowing.renew(desk)
-        self._schedule()
+        self._schedule_tick()
 
-    async def _acquire(self, channel, message):
+    async def _handle_acquire(self, channel, message):
         config = self._configuration.config
         if config is None or message.service not in config.service_by_name:
             return Failure(Code.UNKNOWN_SERVICE.value)
-        desk = self.desk_by_service.get(message.service)
+        desk = self.permit_server_by_service.get(message.service)
         if desk is None or not desk.active:
             return Failure(Code.NO_ARBITER.value)
         if channel.peer.availability_zone != self._context.availability_zone:
             self._context.counters.add("acquires_refused", reason="other_zone")
             return Failure(Code.UNEXPECTED_MESSAGE.value)
         holder = Holder(channel.peer.vm, channel.peer.incarnation)
-        await self._borrowing.introduce(desk, holder, channel)
+        await self._borrowing.register_holder(desk, holder, channel)
         if not desk.active:
             return Failure(Code.NO_ARBITER.value)
-        return await self._decide(desk, holder, message, config)
+        return await self._wait_for_decision(desk, holder, message, config)
 
-    async def _decide(self, desk, holder, message, config):
+    async def _wait_for_decision(self, desk, holder, message, config):
         key = f"{holder.incarnation} {message.request_id}"
         future = asyncio.get_running_loop().create_future()
 
-        def answer(decided):
+        def answer(decision):
             if not future.done():
-                future.set_result(decided)
+                future.set_result(decision)
 
         deadline_s = config.service_by_name[message.service].deadline_s
         desk.acquire(key, holder, message, deadline_s, answer, self._now())
-        self._schedule()
+        self._schedule_tick()
         try:
             return await future
         except asyncio.CancelledError:
             desk.withdraw(key, self._now())
             raise
 
-    async def _release(self, channel, message):
+    async def _handle_release(self, channel, message):
         now = self._now()
-        for desk in self.desk_by_service.values():
+        for desk in self.permit_server_by_service.values():
             config = self._configuration.config
             service = config.service_by_name.get(desk.service)
             if service and message.upstream in service.upstream_by_id:
                 desk.release(message, now)
-                self._note_outcome(desk.service, message, now)
+                self._record_outcome(desk.service, message, now)
         if message.outcome == OUTCOME_CRASHED and message.fingerprint:
-            self._tell_poison(Poison(message.fingerprint, message.upstream, 1))
-        self._schedule()
+            self._send_poison(Poison(message.fingerprint, message.upstream, 1))
+        self._schedule_tick()
 
-    def _tell_poison(self, poison):
+    def _send_poison(self, poison):
         """Warn the arbiters after this one, and those of other zones.
 
         The caller sends a request again that crashed its upstream, here or
         where it tries next; each arbiter alone would lose two upstreams.
         """
         addresses = set(self._members.get_peer_addresses().values())
-        addresses |= set(self._members.get_addresses_elsewhere()[:MAX_TOLD_ELSEWHERE])
+        addresses |= set(
+            self._members.get_addresses_elsewhere()[:MAX_REMOTE_RECIPIENTS]
+        )
         for address in addresses:
             self._tasks.run(self._pool.send(address, poison))
 
-    async def _take_poison(self, channel, message):
+    async def _handle_poison(self, channel, message):
         now = self._now()
         self._poison.note_report(
             message.fingerprint, message.upstream, message.crashes, now
@@ -267,7 +274,7 @@
         self._context.counters.add("poison_noted", upstream=message.upstream)
         self._tick()
 
-    def _note_outcome(self, service, message, now):
+    def _record_outcome(self, service, message, now):
         health = self.health_by_service[service]
         if message.outcome == OUTCOME_LEAVING:
             health.note_signal(message.upstream, DRAINING, now)
@@ -275,23 +282,23 @@
         elif message.outcome == OUTCOME_OK:
             health.note_success(message.upstream, now)
 
-    async def _withdraw(self, channel, message):
-        desk = self.desk_by_service.get(message.service)
+    async def _handle_withdraw(self, channel, message):
+        desk = self.permit_server_by_service.get(message.service)
         if desk:
             key = f"{channel.peer.incarnation} {message.request_id}"
             desk.withdraw(key, self._now())
-            self._schedule()
+            self._schedule_tick()
 
-    async def _take_signal(self, channel, message):
+    async def _handle_signal(self, channel, message):
         for service, health in self.health_by_service.items():
             health.note_signal(message.upstream, message.state, self._now())
             self.refresh_usable(service)
 
-    def _schedule(self):
+    def _schedule_tick(self):
         """Wake up when the next arbiter has something to decide."""
         times = [
             time
-            for desk in self.desk_by_service.values()
+            for desk in self.permit_server_by_service.values()
             for time in [desk.arbiter.get_next_time()]
             if time is not None
         ]
@@ -304,6 +311,6 @@
 
     def _tick(self):
         now = self._now()
-        for desk in self.desk_by_service.values():
+        for desk in self.permit_server_by_service.values():
             desk.tick(now)
-        self._schedule()
+        self._schedule_tick()
--- a/godwitlanding/daemons/services/borrowing.py
+++ b/godwitlanding/daemons/services/borrowing.py
@@ -9,7 +9,7 @@
 # An owner that takes longer is counted as silent for this round.
 LOAN_TIMEOUT_S = 0.5
 HOLDINGS_TIMEOUT_S = 0.5
-UNDER_WAY_S = 0.05
+PENDING_RENEWAL_S = 0.05
 
 
 class Borrowing(Service):
@@ -21,8 +21,8 @@
     def __init__(self, context):
         self._context = context
         self._tasks = Tasks()
-        self._asking = set()
-        self._introduction_by_key = {}
+        self._pending_requests = set()
+        self._registration_by_key = {}
         self._channel_by_key = {}
 
     async def start(self, kernel):
@@ -43,31 +43,31 @@
 
     async def renew(self, desk):
         """Ask every owner for its loan, then holders for open permits."""
-        self._forget_holders(desk)
+        self._remove_idle_holders(desk)
         owners = self._lending.get_owners()
         addresses = self._members.get_peer_addresses()
         members = self._members.member_by_vm
         await asyncio.gather(
             *(
-                self._ask_owner(desk, owner, addresses.get(owner))
+                self._request_loan(desk, owner, addresses.get(owner))
                 for owner in owners
                 if owner == self._context.vm
                 or (owner in members and members[owner].alive)
             )
         )
-        await self._collect(desk)
+        await self._request_missing_holdings(desk)
 
-    async def introduce(self, desk, holder, channel):
+    async def register_holder(self, desk, holder, channel):
         """Let lenders know a holder before it is granted its first permit."""
         key = (desk.service, holder)
         self._channel_by_key[key] = channel
         if desk.borrower.may_grant_to(holder, self._now()):
             return
-        task = self._introduction_by_key.get(key)
+        task = self._registration_by_key.get(key)
         if task is None:
-            task = self._tasks.run(self._tell_lenders(desk, holder))
-            self._introduction_by_key[key] = task
-            task.add_done_callback(lambda _: self._introduction_by_key.pop(key))
+            task = self._tasks.run(self._announce_holder(desk, holder))
+            self._registration_by_key[key] = task
+            task.add_done_callback(lambda _: self._registration_by_key.pop(key))
         # Shielded: the first request that gives up must not end it for all.
         await asyncio.shield(task)
 
@@ -75,54 +75,54 @@
         """Use nothing more, and tell the owners."""
         for owner in desk.borrower.get_owners():
             desk.stop_granting(desk.borrower.drop_owner(owner))
-            self._give_back(owner, desk.borrower.make_give_back())
+            self._send_give_back(owner, desk.borrower.make_give_back())
 
     def _now(self):
         return asyncio.get_running_loop().time()
 
-    def _give_back(self, owner, message):
+    def _send_give_back(self, owner, message):
         if owner == self._context.vm:
-            self._lending.take_give_back(message)
+            self._lending.apply_give_back(message)
             return
         address = self._members.get_peer_addresses().get(owner)
         if address:
             self._tasks.run(self._pool.send(address, message))
 
-    def _forget_holders(self, desk):
-        holders_open = desk.list_holders(self._now())
+    def _remove_idle_holders(self, desk):
+        holders_with_permits = desk.list_holders(self._now())
         for (service, holder), channel in list(self._channel_by_key.items()):
-            is_idle = channel.closed.is_set() and holder not in holders_open
+            is_idle = channel.closed.is_set() and holder not in holders_with_permits
             if service == desk.service and is_idle:
                 desk.borrower.remove_holder(holder)
                 del self._channel_by_key[service, holder]
 
-    async def _ask_owner(self, desk, owner, address):
+    async def _request_loan(self, desk, owner, address):
         # One question at a time: the owner takes what a question does not
         # list as given back, which a second one under way would upset.
         key = (desk.service, owner)
-        if key in self._asking:
+        if key in self._pending_requests:
             return
-        self._asking.add(key)
+        self._pending_requests.add(key)
         try:
-            asked_at = self._now()
-            loan = desk.borrower.make_loan(owner, asked_at)
+            requested_at = self._now()
+            loan = desk.borrower.make_loan(owner, requested_at)
             if owner == self._context.vm:
                 lent = self._lending.lend(owner, loan)
             else:
                 answer = await self._pool.call(address, loan, LOAN_TIMEOUT_S)
                 lent = answer.unwrap_or(None)
             if isinstance(lent, Lent) and desk.active:
-                self._take_lent(desk, owner, loan, lent, asked_at)
+                self._apply_lent(desk, owner, loan, lent, requested_at)
             elif not isinstance(lent, Lent):
                 self._context.counters.add("loans_unanswered", service=desk.service)
         finally:
-            self._asking.discard(key)
+            self._pending_requests.discard(key)
 
-    def _take_lent(self, desk, owner, loan, lent, asked_at):
+    def _apply_lent(self, desk, owner, loan, lent, requested_at):
         now = self._now()
         permit_s = self._lending.get_longest_permit_s(desk.service)
         gains, lost = desk.borrower.accept_lent(
-            owner, loan, lent, asked_at, permit_s, now
+            owner, loan, lent, requested_at, permit_s, now
         )
         desk.stop_granting(lost)
         config = self._configuration.config
@@ -131,42 +131,42 @@
             if gain.upstream in known:
                 desk.add_borrowed(gain, known[gain.upstream].slots, now)
 
-    async def _collect(self, desk):
+    async def _request_missing_holdings(self, desk):
         await asyncio.gather(
             *(
-                self._ask_holder(desk, holder, tuple(upstreams))
+                self._request_holdings(desk, holder, tuple(upstreams))
                 for holder, upstreams in desk.get_pending_upstreams().items()
             )
         )
 
-    async def _ask_holder(self, desk, holder, upstreams):
+    async def _request_holdings(self, desk, holder, upstreams):
         """Ask for open permits; ``False`` where the holder did not answer."""
         member = self._members.member_by_vm.get(holder.vm)
         if member is None or not member.address:
             return False
         address = f"{member.address}:{self._context.settings['entry_peer_port']}"
-        dialled = await self._pool.get_channel(address)
-        if dialled.is_err():
+        connected = await self._pool.get_channel(address)
+        if connected.is_err():
             return False
-        channel = dialled.unwrap()
+        channel = connected.unwrap()
         # A new incarnation knows nothing of the permits of the former one,
         # whose work the upstream may still be running: let them end.
         if channel.peer.incarnation != holder.incarnation:
             return False
-        question = Holdings(self._context.incarnation, desk.service, upstreams)
-        answer = await channel.call(question, HOLDINGS_TIMEOUT_S)
+        request = Holdings(self._context.incarnation, desk.service, upstreams)
+        answer = await channel.call(request, HOLDINGS_TIMEOUT_S)
         if answer.is_err() or not isinstance(answer.unwrap(), Held):
             return False
         desk.add_held_permits(holder, upstreams, answer.unwrap(), self._now())
         return True
 
-    async def _tell_lenders(self, desk, holder):
+    async def _announce_holder(self, desk, holder):
         desk.borrower.add_holder(holder)
-        await self._ask_holder(desk, holder, self._get_local_ids(desk.service))
+        await self._request_holdings(desk, holder, self._get_local_ids(desk.service))
         await self.renew(desk)
         if not desk.borrower.may_grant_to(holder, self._now()):
             # A renewal that was under way did not name the holder yet.
-            await asyncio.sleep(UNDER_WAY_S)
+            await asyncio.sleep(PENDING_RENEWAL_S)
             await self.renew(desk)
         for owner in desk.borrower.get_uninformed_lenders(holder, self._now()):
             desk.stop_granting(desk.borrower.drop_owner(owner))
--- a/godwitlanding/daemons/services/callers.py
+++ b/godwitlanding/daemons/services/callerlocator.py
@@ -7,7 +7,7 @@
 from godwitlanding.daemons.blockstore import BLOCKS_KIND, BlockLoader
 
 
-class Callers(Service):
+class CallerLocator(Service):
     """Tells the zone of a caller by the block of its address.
 
     Without any blocks in the platform it knows no caller, and each is
@@ -24,8 +24,8 @@
     async def start(self, kernel):
         """Read the blocks held and follow their changes."""
         for state in self._context.replica.get_kind(BLOCKS_KIND):
-            self._take(state)
-        self._context.replica.listen(self._take)
+            self._apply_state(state)
+        self._context.replica.listen(self._apply_state)
 
     def get_status(self):
         """Return the size of the table and the last delta in it."""
@@ -59,7 +59,7 @@
             return ""
         return sites[group - 1].availability_zone
 
-    def _take(self, state):
+    def _apply_state(self, state):
         if state.kind != BLOCKS_KIND:
             return
         try:
--- a/godwitlanding/daemons/services/claims.py
+++ b/godwitlanding/daemons/services/claims.py
@@ -8,15 +8,15 @@
 from godwitlanding.daemons.journal import Claim
 from godwitlanding.daemons.journalformat import Closer
 from godwitlanding.daemons.request import compute_body_fingerprint
-from godwitlanding.daemons.services.carrier import Final
 from godwitlanding.daemons.services.once import answer_again
+from godwitlanding.daemons.services.requestexecutor import Finished
 from godwitlanding.daemons.services.upstreams import CONNECTION_REFUSED
 from godwitlanding.daemons.ticket import JOURNALED, is_ticket, read_ticket
 
 # Homes in a row that were replaced while one ticket was pressed.
-MAX_HOMES = 8
+MAX_REPLACED_HOMES = 8
 # From the VM that the caller chose to the home, and to its replacement.
-MAX_DEPTH = 3
+MAX_FORWARD_DEPTH = 3
 RETRY_S = 1.0
 
 
@@ -50,10 +50,10 @@
         key = self._view.get_ticket_key()
         if key is None:
             return make_refusal(Code.NOT_READY, RETRY_S, run=RUN_UNKNOWN)
-        read = read_ticket(key, request.key)
-        if read.is_err():
-            return read.unwrap_err()
-        ticket = read.unwrap()
+        parsed = read_ticket(key, request.key)
+        if parsed.is_err():
+            return parsed.unwrap_err()
+        ticket = parsed.unwrap()
         if ticket.service != request.service.name:
             return make_refusal(Code.BAD_TICKET, detail=f"it is for {ticket.service}")
         return await self._find_home(request, sink, ticket)
@@ -62,14 +62,14 @@
         """Follow the homes of a ticket to the one that may run it."""
         home = Closer(ticket.home_vm, ticket.home_incarnation)
         former = []
-        for _ in range(MAX_HOMES):
-            if self._is_open_here(home, ticket):
-                return await self._run_here(request, sink, ticket, former)
+        for _ in range(MAX_REPLACED_HOMES):
+            if self._is_open_locally(home, ticket):
+                return await self._run_locally(request, sink, ticket, former)
             closed = self._journal.get_closed(home.incarnation)
             if closed is None:
-                ended = await self._try_there(request, sink, home)
-                if ended:
-                    return ended.refusal
+                finished = await self._forward_to_home(request, sink, home)
+                if finished:
+                    return finished.refusal
                 if ticket.kind != JOURNALED:
                     # Only the memory of its home knew, and it is gone.
                     return make_refusal(Code.OUTCOME_UNKNOWN)
@@ -81,7 +81,7 @@
             home = closed.closed_by
         return make_refusal(Code.HOME_UNREACHABLE, RETRY_S)
 
-    def _is_open_here(self, home, ticket):
+    def _is_open_locally(self, home, ticket):
         if home.incarnation != self._context.incarnation:
             return False
         journal = self._journal.journal
@@ -89,18 +89,18 @@
             not journal.closed_by or ticket.kind != JOURNALED or journal.holds(ticket)
         )
 
-    async def _run_here(self, request, sink, ticket, former):
+    async def _run_locally(self, request, sink, ticket, former):
         fingerprint = compute_body_fingerprint(request)
-        pressed = self._journal.press(ticket, fingerprint, former)
-        if pressed.is_err():
-            return pressed.unwrap_err()
-        claim = pressed.unwrap()
+        submitted = self._journal.press(ticket, fingerprint, former)
+        if submitted.is_err():
+            return submitted.unwrap_err()
+        claim = submitted.unwrap()
         if not isinstance(claim, Claim):
             self._counters.add("answers_replayed", service=ticket.service)
             return await answer_again(claim, sink)
         return await self._once.run(request, sink, _JournalRecord(self._journal, claim))
 
-    async def _try_there(self, request, sink, home):
+    async def _forward_to_home(self, request, sink, home):
         """Hand the press to ``home``; ``None`` where it is certainly gone.
 
         Taking over from a home that only seems gone is safe, since closing
@@ -109,16 +109,16 @@
         """
         if home.vm == self._context.vm:
             return None
-        if request.forward.depth >= MAX_DEPTH:
-            return Final(make_refusal(Code.HOME_UNREACHABLE, RETRY_S))
+        if request.forward.depth >= MAX_FORWARD_DEPTH:
+            return Finished(make_refusal(Code.HOME_UNREACHABLE, RETRY_S))
         row = self._find_row(home.vm)
         if row is None:
             return None
         attempt = await self._passer.forward(request, row, HOME, request.deadline, sink)
         if attempt.code is None:
-            return Final(None)
+            return Finished(None)
         if attempt.outcome == OUTCOME_UNUSED:
-            return Final(
+            return Finished(
                 make_refusal(
                     attempt.code, attempt.retry_after_s, attempt.detail, attempt.run
                 )
@@ -127,7 +127,7 @@
         if is_unreached and self._is_gone(home, attempt.detail):
             return None
         # An earlier press may have run there, whatever became of this one.
-        return Final(make_refusal(Code.HOME_UNREACHABLE, RETRY_S, attempt.detail))
+        return Finished(make_refusal(Code.HOME_UNREACHABLE, RETRY_S, attempt.detail))
 
     def _find_row(self, vm):
         for row in self._view.get_vms():
--- a/godwitlanding/daemons/services/configuration.py
+++ b/godwitlanding/daemons/services/configuration.py
@@ -20,7 +20,7 @@
 
     async def start(self, kernel):
         """Follow the replica; listeners that come later see the new form."""
-        self._context.replica.listen(self._take)
+        self._context.replica.listen(self._apply_state)
 
     def get_status(self):
         """Return the versions in force."""
@@ -31,13 +31,13 @@
             "plan_why": self.plan.why,
         }
 
-    def _take(self, state):
+    def _apply_state(self, state):
         if state.kind == CONFIG_KIND:
-            self._take_config(state)
+            self._apply_config(state)
         elif state.kind == "plan":
-            self._take_plan(state)
+            self._apply_plan(state)
 
-    def _take_config(self, state):
+    def _apply_config(self, state):
         parsed = parse_config(state.body.decode(errors="replace"))
         # Somebody wrote past the checks of godwitctl: the last good text
         # stays in force, and the error log and the counter show it.
@@ -49,7 +49,7 @@
         self.config = parsed.unwrap()
         self.version = state.version
 
-    def _take_plan(self, state):
+    def _apply_plan(self, state):
         try:
             self.plan = parse_plan(state.body)
             self.plan_version = state.version
--- a/godwitlanding/daemons/services/linger.py
+++ b/godwitlanding/daemons/services/entryshutdown.py
@@ -8,12 +8,12 @@
 from godwitlanding.base.log import log_warning
 from godwitlanding.base.messages import Heartbeat
 
-REPORT_S = 5.0
+REPORT_INTERVAL_S = 5.0
 # The stop ends itself before whoever asked for it loses patience.
-MARGIN_S = 0.5
+STOP_MARGIN_S = 0.5
 
 
-class Linger(Service):
+class EntryShutdown(Service):
     """Serves on until no caller can be sent here, then ends what it has.
 
     Callers may use an answer of ``steer`` for its max-age, and a ``steer``
@@ -27,11 +27,11 @@
 
     def __init__(self, context):
         settings = context.settings
-        news_s = settings["summary_s"] + 2 * settings["heartbeat_s"]
+        propagation_s = settings["summary_s"] + 2 * settings["heartbeat_s"]
         self._context = context
         self._limit_s = settings["stop_limit_s"]
         self._sleep = asyncio.sleep
-        self._linger_s = min(settings["steer_max_age_s"] + news_s, self._limit_s)
+        self._drain_s = min(settings["steer_max_age_s"] + propagation_s, self._limit_s)
 
     async def start(self, kernel):
         """Find the services that serve on."""
@@ -42,21 +42,21 @@
     async def stop(self):
         """Leave within ``stop_limit_s``, and log what it waits for."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         self._requests.begin_leaving()
         await self._announce()
-        log_message("linger:serving_on", for_s=self._linger_s)
-        await self._sleep(self._linger_s)
+        log_message("linger:serving_on", for_s=self._drain_s)
+        await self._sleep(self._drain_s)
         report = asyncio.ensure_future(self._report())
-        ending = asyncio.ensure_future(self._server.stop())
-        left_s = self._limit_s - self._linger_s - MARGIN_S
-        await asyncio.wait((ending,), timeout=max(MARGIN_S, left_s))
+        server_stop = asyncio.ensure_future(self._server.stop())
+        left_s = self._limit_s - self._drain_s - STOP_MARGIN_S
+        await asyncio.wait((server_stop,), timeout=max(STOP_MARGIN_S, left_s))
         report.cancel()
-        if not ending.done():
+        if not server_stop.done():
             log_warning("linger:limit_reached", cut=self._requests.get_status())
             self._server.force()
-            await ending
-        log_message("linger:ended", after_s=round(loop.time() - began, 3))
+            await server_stop
+        log_message("linger:ended", after_s=round(loop.time() - started_at, 3))
 
     async def _announce(self):
         """Tell the zone daemon of this VM to name it to callers no more."""
@@ -72,4 +72,4 @@
     async def _report(self):
         while True:
             log_message("linger:waiting", **self._requests.get_status())
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
--- a/godwitlanding/daemons/services/feed.py
+++ b/godwitlanding/daemons/services/feed.py
@@ -22,7 +22,7 @@
 
 RETRY_S = 0.2
 # Any other answer, even a refusal, shows that the daemon is awake.
-_SILENT = (Code.CALL_TIMEOUT, Code.PEER_UNREACHABLE)
+_NO_RESPONSE_CODES = (Code.CALL_TIMEOUT, Code.PEER_UNREACHABLE)
 
 
 class Feed(Service):
@@ -40,7 +40,7 @@
         self.source = ""
         self._context = context
         self._kinds = tuple(kinds)
-        handlers = {State: self._take, **(handler_by_type or {})}
+        handlers = {State: self._apply_state, **(handler_by_type or {})}
         self.pool = Pool(context.make_hello(), handlers, context.counters)
         self._task = None
 
@@ -71,10 +71,10 @@
         }
         return {"source": self.source, "versions": versions}
 
-    async def _take(self, channel, message):
+    async def _apply_state(self, channel, message):
         self._context.replica.offer(message)
 
-    def _get_addresses(self):
+    def _get_daemon_addresses(self):
         own = self.get_own_address()
         port = self._context.settings["zone_port"]
         members = self.view.get_members()
@@ -89,7 +89,7 @@
 
     async def _run(self):
         while True:
-            for address in self._get_addresses():
+            for address in self._get_daemon_addresses():
                 if await self._subscribe(address):
                     await self._follow(address)
                     break
@@ -115,18 +115,18 @@
         """
         timeout_s = self._context.settings["member_timeout_s"]
         own = self.get_own_address()
-        question = Fetch(MEMBERS_KIND, self._context.availability_zone)
+        probe = Fetch(MEMBERS_KIND, self._context.availability_zone)
         while True:
-            dialled = await self.pool.get_channel(address)
-            if dialled.is_err():
+            connected = await self.pool.get_channel(address)
+            if connected.is_err():
                 break
-            channel = dialled.unwrap()
+            channel = connected.unwrap()
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(channel.closed.wait(), timeout_s)
             if channel.closed.is_set():
                 break
-            answer = await channel.call(question, timeout_s)
-            if answer.is_err() and answer.unwrap_err().code in _SILENT:
+            answer = await channel.call(probe, timeout_s)
+            if answer.is_err() and answer.unwrap_err().code in _NO_RESPONSE_CODES:
                 break
             if address != own and await self._subscribe(own):
                 self.pool.drop(address)
--- a/godwitlanding/daemons/services/holder.py
+++ b/godwitlanding/daemons/services/holder.py
@@ -18,8 +18,8 @@
     async def start(self, kernel):
         """Listen on the entry daemon's port for our own processes."""
         self._permits = kernel.get("permits")
-        self._carrier = kernel.get("carrier")
-        handlers = {Holdings: self._answer_holdings, Poison: self._take_poison}
+        self._executor = kernel.get("carrier")
+        handlers = {Holdings: self._handle_holdings, Poison: self._handle_poison}
         context = self._context
         self._server = Server(context.make_hello(), handlers, context.counters)
         settings = context.settings
@@ -30,9 +30,9 @@
         if self._server:
             await self._server.stop()
 
-    async def _answer_holdings(self, channel, message):
+    async def _handle_holdings(self, channel, message):
         return self._permits.answer_holdings(message)
 
-    async def _take_poison(self, channel, message):
+    async def _handle_poison(self, channel, message):
         self._context.counters.add("poison_noted", upstream=message.upstream)
-        self._carrier.note_poison(message)
+        self._executor.note_poison(message)
--- a/godwitlanding/daemons/services/keys.py
+++ b/godwitlanding/daemons/services/idempotencykeys.py
@@ -27,13 +27,13 @@
 
 CLAIM_KIND = "claim"
 RETRY_S = 0.1
-WRITE_TRIES = 5
-TIDY_S = 5.0
+MAX_WRITE_ATTEMPTS = 5
+CLEANUP_INTERVAL_S = 5.0
 # Deletes are writes like any other, and nobody waits for these.
-TIDY_BATCH = 10
+CLEANUP_BATCH_SIZE = 10
 
 
-class KeyService(Service):
+class IdempotencyKeyService(Service):
     """Claims callers' keys in the platform and keeps their outcomes."""
 
     name = "keys"
@@ -43,18 +43,22 @@
         self._context = context
         self._counters = context.counters
         self._store = store
-        self._held_by_name = {}
+        self._held_key_by_name = {}
         self._tasks = Tasks()
 
     async def start(self, kernel):
         """Begin to delete what is no longer kept."""
         self._once = kernel.get("once")
         self._view = kernel.get("feed").view
-        self._tasks.repeat(TIDY_S, self._tidy)
+        self._tasks.repeat(CLEANUP_INTERVAL_S, self._clean_up)
 
     async def stop(self):
         """End, after the outcomes under way are written."""
-        writes = [held.task for held in self._held_by_name.values() if held.task]
+        writes = [
+            held.write_task
+            for held in self._held_key_by_name.values()
+            if held.write_task
+        ]
         if writes:
             await asyncio.wait(writes)
         await self._tasks.stop()
@@ -65,17 +69,17 @@
             return make_refusal(Code.MALFORMED_REQUEST, detail="Idempotency-Key")
         name = make_name(request.service.name, request.key)
         fingerprint = compute_body_fingerprint(request)
-        if name in self._held_by_name:
-            return await self._answer(
-                self._held_by_name[name].record, fingerprint, sink
+        if name in self._held_key_by_name:
+            return await self._respond(
+                self._held_key_by_name[name].record, fingerprint, sink
             )
         context = self._context
         record = KeyRecord(
             uuid.uuid4().hex, context.vm, context.incarnation, fingerprint
         )
-        held = _Held(self, name, record)
+        held = _HeldKey(self, name, record)
         # Held before the first await: a second press must not claim too.
-        self._held_by_name[name] = held
+        self._held_key_by_name[name] = held
         try:
             found = await self._claim(held)
         except asyncio.CancelledError:
@@ -85,13 +89,13 @@
             held.withdraw()
             return found.unwrap_err()
         if found.unwrap():
-            del self._held_by_name[name]
-            return await self._answer(found.unwrap(), fingerprint, sink)
+            del self._held_key_by_name[name]
+            return await self._respond(found.unwrap(), fingerprint, sink)
         return await self._once.run(request, sink, held)
 
     async def _claim(self, held):
         """Return ``Ok(None)`` once claimed, ``Ok(record)`` of who has it."""
-        for _ in range(WRITE_TRIES):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             value = format_record(held.record)
             put = await self._store.put(CLAIM_KIND, held.name, value, held.version)
             if put.is_ok():
@@ -111,12 +115,12 @@
             if found.claim_id == held.record.claim_id:
                 held.version = stored.unwrap().version
                 return Ok(None)
-            if not self._is_left_behind(found):
+            if not self._is_own_abandoned_claim(found):
                 return Ok(found)
             held.version = stored.unwrap().version
         return Err(make_refusal(Code.JOURNAL_UNAVAILABLE, 1.0))
 
-    def _is_left_behind(self, found):
+    def _is_own_abandoned_claim(self, found):
         """Tell whether this process claimed it and certainly never ran it.
 
         The answer to the create was lost and the claim given up before it
@@ -125,7 +129,7 @@
         is_ours = found.incarnation == self._context.incarnation
         return is_ours and found.state == CLAIMED
 
-    async def _answer(self, record, fingerprint, sink):
+    async def _respond(self, record, fingerprint, sink):
         if record.fingerprint != fingerprint:
             return make_refusal(Code.TICKET_MISMATCH)
         if record.state == DONE:
@@ -151,7 +155,7 @@
 
     async def write_outcome(self, held):
         """Write a held record until it stands or the tries are used up."""
-        for _ in range(WRITE_TRIES):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             value = format_record(held.record)
             put = await self._store.put(CLAIM_KIND, held.name, value, held.version)
             if put.is_ok():
@@ -167,7 +171,7 @@
 
     async def delete(self, held):
         """Delete the claim of work that was not run, or is no longer kept."""
-        for _ in range(WRITE_TRIES):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             gone = await self._store.delete(CLAIM_KIND, held.name, held.version)
             if gone.is_ok() or gone.unwrap_err().code is Code.NOT_FOUND:
                 return
@@ -179,29 +183,29 @@
                     return
                 held.version = stored.unwrap().version
 
-    def forget(self, held):
+    def release_key(self, held):
         """Let go of a key that was not run; delete its claim, if any."""
-        self._held_by_name.pop(held.name, None)
+        self._held_key_by_name.pop(held.name, None)
         if held.version or held.is_unsure:
             self._tasks.run(self.delete(held))
 
-    def keep(self, held):
+    def save_outcome(self, held):
         """Write the outcome of a key that was run."""
-        held.task = self._tasks.run(self.write_outcome(held))
+        held.write_task = self._tasks.run(self.write_outcome(held))
 
-    async def _tidy(self):
+    async def _clean_up(self):
         oldest = time.monotonic() - self._context.settings["ticket_keep_s"]
         old = [
             held
-            for held in self._held_by_name.values()
+            for held in self._held_key_by_name.values()
             if held.record.state != CLAIMED and held.claimed_at < oldest
         ]
-        for held in old[:TIDY_BATCH]:
+        for held in old[:CLEANUP_BATCH_SIZE]:
             await self.delete(held)
-            self._held_by_name.pop(held.name, None)
+            self._held_key_by_name.pop(held.name, None)
 
 
-class _Held:
+class _HeldKey:
     """A key that this process claims, as ``once`` sees it."""
 
     def __init__(self, service, name, record):
@@ -210,16 +214,16 @@
         self.version = 0
         self.is_unsure = True
         self.claimed_at = time.monotonic()
-        self.task = None
+        self.write_task = None
         self._service = service
 
     async def confirm(self):
         return None
 
     def withdraw(self):
-        self._service.forget(self)
+        self._service.release_key(self)
 
     def finish(self, outcome):
         state = UNKNOWN if outcome is None else DONE
         self.record = self.record._replace(state=state, outcome=outcome)
-        self._service.keep(self)
+        self._service.save_outcome(self)
--- a/godwitlanding/daemons/services/journal.py
+++ b/godwitlanding/daemons/services/journal.py
@@ -22,9 +22,9 @@
 RETRY_S = 0.1
 # A press minutes later is answered with the status alone from a journal
 # that was taken over; each write carries every body that is kept.
-BODY_KEEP_S = 60.0
-TIDY_S = 5.0
-CLOSE_TRIES = 5
+BODY_RETENTION_S = 60.0
+CLEANUP_INTERVAL_S = 5.0
+MAX_CLOSE_ATTEMPTS = 5
 
 
 class JournalWriter(Service):
@@ -47,8 +47,8 @@
 
     async def start(self, kernel):
         """Begin to write what changes."""
-        self._tasks.run(self._write_always())
-        self._tasks.repeat(TIDY_S, self._tidy)
+        self._tasks.run(self._write_changes())
+        self._tasks.repeat(CLEANUP_INTERVAL_S, self._clean_up)
 
     async def stop(self):
         """Write the last outcomes, unless the platform is away."""
@@ -62,9 +62,9 @@
 
     def press(self, ticket, fingerprint, former=()):
         """Press a ticket as ``Journal.press`` does."""
-        pressed = self.journal.press(ticket, fingerprint, former)
+        submitted = self.journal.press(ticket, fingerprint, former)
         self._changed.set()
-        return pressed
+        return submitted
 
     async def wait_recorded(self, claim):
         """Return ``None`` once the claim may be dispatched, else a refusal.
@@ -110,7 +110,7 @@
 
         Another process may have closed it first: ``closed_by`` tells.
         """
-        for _ in range(CLOSE_TRIES):
+        for _ in range(MAX_CLOSE_ATTEMPTS):
             stored = await self._read(incarnation)
             if stored.is_err():
                 return stored
@@ -140,7 +140,7 @@
             return Ok(None)
         return answer
 
-    async def _write_always(self):
+    async def _write_changes(self):
         while not self.journal.closed_by:
             await self._changed.wait()
             self._changed.clear()
@@ -148,14 +148,14 @@
             # nothing new came: its outcomes may not stand in the platform.
             if not (self.journal.is_dirty or self.journal.has_unresolved_writes):
                 continue
-            await self._gather()
+            await self._wait_for_batch()
             self._is_failing = not await self._write()
             if self._is_failing:
                 self._changed.set()
                 await asyncio.sleep(RETRY_S)
         log_error("journal:fenced", closed_by=self.journal.closed_by.incarnation)
 
-    async def _gather(self):
+    async def _wait_for_batch(self):
         """Wait for more to write: shortly for claims, longer for outcomes.
 
         A claim that comes long after the last write is written at once;
@@ -163,9 +163,12 @@
         """
         loop = asyncio.get_running_loop()
         end = loop.time() + OUTCOME_DELAY_S
-        while not self.journal.has_waiting_claims and (left := end - loop.time()) > 0:
+        while (
+            not self.journal.has_waiting_claims
+            and (remaining_s := end - loop.time()) > 0
+        ):
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await self._changed.wait()
             self._changed.clear()
         next_at = self._written_at + self._settings["journal_batch_s"]
@@ -184,7 +187,7 @@
         )
         if put.is_ok():
             self._counters.add("journal_writes")
-            self._tell(self.journal.end_write(write, put.unwrap()))
+            self._wake_waiters(self.journal.end_write(write, put.unwrap()))
             return True
         code = put.unwrap_err().code
         self._counters.add("journal_writes_failed", code=code.name)
@@ -198,22 +201,22 @@
         if stored.is_err():
             return False
         try:
-            self._tell(self.journal.reconcile(stored.unwrap()))
+            self._wake_waiters(self.journal.reconcile(stored.unwrap()))
         except ValueError as error:
             log_error("journal:unreadable", error=str(error))
             return False
         if self.journal.closed_by:
-            self._tell(self.journal.void_waiting())
+            self._wake_waiters(self.journal.void_waiting())
         return True
 
-    def _tell(self, claims):
+    def _wake_waiters(self, claims):
         for claim in claims:
             future = self._future_by_claim.get(claim)
             if future and not future.done():
                 future.set_result(None)
 
-    async def _tidy(self):
+    async def _clean_up(self):
         now = int(time.time())
-        self.journal.drop_bodies(now - int(BODY_KEEP_S))
+        self.journal.drop_bodies(now - int(BODY_RETENTION_S))
         self.journal.forget(now - int(self._settings["ticket_keep_s"]))
         self._changed.set()
--- a/godwitlanding/daemons/services/lending.py
+++ b/godwitlanding/daemons/services/lending.py
@@ -15,7 +15,7 @@
 )
 from godwitlanding.daemons.upstreamowner import RosterInputs, UpstreamOwner
 
-ROUND_S = 0.3
+ROSTER_INTERVAL_S = 0.3
 
 
 class Lending(Service):
@@ -44,10 +44,10 @@
         self._replication = kernel.get("replication")
         self._store = kernel.get("platform").store
         peers = kernel.get("peers")
-        peers.handle(Loan, self._answer_loan)
-        peers.handle(GiveBack, self._take_give_back)
-        self._context.replica.listen(self._take_state)
-        self._tasks.repeat(ROUND_S, self._keep_roster)
+        peers.handle(Loan, self._handle_loan)
+        peers.handle(GiveBack, self._handle_give_back)
+        self._context.replica.listen(self._apply_state)
+        self._tasks.repeat(ROSTER_INTERVAL_S, self._update_roster)
 
     async def stop(self):
         """End the rounds."""
@@ -74,16 +74,16 @@
         upstreams = self._get_owned(loan.service)
         return self._steward.lender.lend(loan, upstreams, permit_s, self._now())
 
-    def take_give_back(self, message):
+    def apply_give_back(self, message):
         """Take the word of an arbiter that uses its loans no more."""
         owned = self._get_owned(message.service)
         self._steward.lender.give_back(message, owned)
 
-    async def give_up(self):
+    async def hand_over(self):
         """Give every upstream to another member before this VM ends."""
         self._leaving = True
-        while self._steward.lender.get_owned() and self._has_heirs():
-            await asyncio.sleep(ROUND_S)
+        while self._steward.lender.get_owned() and self._has_next_owners():
+            await asyncio.sleep(ROSTER_INTERVAL_S)
 
     def get_status(self):
         """Return what this VM owns and to whom it is lent."""
@@ -102,20 +102,20 @@
         known = config.service_by_name[service].upstream_by_id
         return sorted(u for u in self._steward.lender.get_owned() if u in known)
 
-    async def _answer_loan(self, channel, loan):
+    async def _handle_loan(self, channel, loan):
         lent = self.lend(channel.peer.vm, loan)
         if lent is None:
             self._context.counters.add("loans_refused", code=Code.LOAN_REFUSED.name)
             return Failure(Code.LOAN_REFUSED.value)
         return lent
 
-    async def _take_give_back(self, channel, message):
-        self.take_give_back(message)
+    async def _handle_give_back(self, channel, message):
+        self.apply_give_back(message)
 
-    def _take_state(self, state):
+    def _apply_state(self, state):
         zone = self._context.availability_zone
         if state.kind == "config":
-            self._note_deadlines()
+            self._update_longest_permits()
         if state.kind != ROSTER_KIND or state.name != zone:
             return
         try:
@@ -125,18 +125,18 @@
             return
         self._steward.update_roster(roster, state.version, self._now())
 
-    def _note_deadlines(self):
+    def _update_longest_permits(self):
         config = self._configuration.config
         for service in config.service_by_name.values() if config else ():
             former = self.longest_permit_s_by_service.get(service.name, 0.0)
-            longest = max(former, service.deadline_s)
-            self.longest_permit_s_by_service[service.name] = longest
+            longest_s = max(former, service.deadline_s)
+            self.longest_permit_s_by_service[service.name] = longest_s
 
     def _get_version(self):
         zone = self._context.availability_zone
         return self._context.replica.get_version(ROSTER_KIND, zone)
 
-    async def _keep_roster(self):
+    async def _update_roster(self):
         config = self._configuration.config
         if config is None or not self._members.is_settled():
             return
@@ -147,12 +147,12 @@
             for upstream in service.get_upstreams(zone)
         }
         roster = self._steward.plan_change(
-            self._look_around(), permit_s_by_upstream, self._now()
+            self._get_roster_inputs(), permit_s_by_upstream, self._now()
         )
         if roster:
             await self._write(roster)
 
-    def _look_around(self):
+    def _get_roster_inputs(self):
         members = self._members
         candidates = [
             Candidate(
@@ -172,7 +172,7 @@
             leaving=self._leaving,
         )
 
-    def _has_heirs(self):
+    def _has_next_owners(self):
         others = set(self._members.get_active()) - {self._context.vm}
         return bool(others) and self._members.platform_reachable
 
--- a/godwitlanding/daemons/services/once.py
+++ b/godwitlanding/daemons/services/once.py
@@ -7,7 +7,7 @@
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.tasks import Tasks
 from godwitlanding.daemons.responsewriter import ResponseRecorder, replay
-from godwitlanding.daemons.services.carrier import Guard
+from godwitlanding.daemons.services.requestexecutor import Guard
 
 
 class Record(Protocol):
@@ -96,7 +96,7 @@
         refusal = None
         is_known = False
         try:
-            refusal = await self._carrier.carry(request, recorder, guard)
+            refusal = await self._carrier.execute(request, recorder, guard)
             is_known = refusal is None or refusal.run == RUN_NO
         finally:
             if not guard.is_confirmed or (is_known and refusal):
--- a/godwitlanding/daemons/services/probes.py
+++ b/godwitlanding/daemons/services/probes.py
@@ -49,7 +49,7 @@
         config = self._configuration.config
         zone = self._context.availability_zone
         for service in config.service_by_name.values() if config else ():
-            desk = self._arbitration.desk_by_service.get(service.name)
+            desk = self._arbitration.permit_server_by_service.get(service.name)
             if desk and desk.active:
                 for upstream in service.get_upstreams(zone):
                     if upstream.id not in self._probing:
--- a/godwitlanding/daemons/services/carrier.py
+++ b/godwitlanding/daemons/services/requestexecutor.py
@@ -13,13 +13,13 @@
 from godwitlanding.decisions.retry import AttemptHistory, Failure, RetryPolicy
 
 
-class Final(NamedTuple):
+class Finished(NamedTuple):
     """The request has ended: answered, or with a refusal to give."""
 
     refusal: Refusal | None
 
 
-class Again(NamedTuple):
+class Retry(NamedTuple):
     """Ask for another permit."""
 
     reason: str
@@ -38,16 +38,16 @@
 NO_GUARD = Guard()
 
 
-class Job(NamedTuple):
+class ActiveRequest(NamedTuple):
     """A request under way."""
 
     request: object
     sink: object
     guard: Guard
-    tries: AttemptHistory
+    attempts: AttemptHistory
 
 
-class Carrier(Service):
+class RequestExecutor(Service):
     """Carries requests to upstreams of its zone, or passes them on."""
 
     name = "carrier"
@@ -71,7 +71,7 @@
             message.fingerprint, message.upstream, message.crashes, now
         )
 
-    async def carry(self, request, sink, guard=NO_GUARD):
+    async def execute(self, request, sink, guard=NO_GUARD):
         """Carry a request; return the ``Refusal`` to give, if any.
 
         Where ``sink.started`` is set beside a refusal, the answer broke
@@ -80,17 +80,17 @@
         poison = self.policy.check(request, asyncio.get_running_loop().time())
         if poison:
             return poison
-        job = Job(request, sink, guard, AttemptHistory())
+        active = ActiveRequest(request, sink, guard, AttemptHistory())
         may_pass_on = not request.from_zone
-        asks = 0
+        acquire_count = 0
         while True:
             granted = await self._permits.acquire(
-                request, job.tries.excluded_upstreams, asks, may_pass_on
+                request, active.attempts.excluded_upstreams, acquire_count, may_pass_on
             )
-            step = await self._use(granted, job)
-            if isinstance(step, Final):
-                return step.refusal and job.tries.adjust_refusal(step.refusal)
-            asks += 1
+            step = await self._handle_grant(granted, active)
+            if isinstance(step, Finished):
+                return step.refusal and active.attempts.adjust_refusal(step.refusal)
+            acquire_count += 1
             self.trace.add(request.id, "retried", reason=step.reason)
             may_pass_on = may_pass_on and not isinstance(granted, Spill)
             may_pass_on = may_pass_on and not sink.started
@@ -99,13 +99,13 @@
             )
 
     @singledispatchmethod
-    async def _use(self, refusal, job):
-        return Final(refusal)
+    async def _handle_grant(self, refusal, active):
+        return Finished(refusal)
 
-    @_use.register
-    async def _(self, permit: Permit, job):
+    @_handle_grant.register
+    async def _(self, permit: Permit, active):
         loop = asyncio.get_running_loop()
-        request = job.request
+        request = active.request
         self.trace.add(
             request.id,
             "granted",
@@ -116,64 +116,64 @@
         started_at = loop.time()
         outcome = OUTCOME_UNUSED
         try:
-            refusal = await job.guard.confirm()
+            refusal = await active.guard.confirm()
             if refusal:
-                return Final(refusal)
+                return Finished(refusal)
             if not self._permits.book.may_dispatch(permit, loop.time()):
-                return self._ask_anew(request, loop.time())
-            if not job.tries.count:
+                return self._handle_expired_permit(request, loop.time())
+            if not active.attempts.count:
                 self.policy.note_first_attempt(request.service.name, loop.time())
             outcome = OUTCOME_CANCELLED
-            attempt = await self._upstreams.dispatch(request, permit, job.sink)
+            attempt = await self._upstreams.dispatch(request, permit, active.sink)
             outcome = attempt.outcome
         finally:
             took_s = loop.time() - started_at
             self._permits.release(permit, outcome, took_s, request.fingerprint)
-        return self._judge(attempt, permit.upstream, job)
+        return self._handle_attempt(attempt, permit.upstream, active)
 
-    @_use.register
-    async def _(self, spill: Spill, job):
+    @_handle_grant.register
+    async def _(self, spill: Spill, active):
         self._counters.add("requests_passed_on", zone=spill.availability_zone)
-        self.trace.add(job.request.id, "passed on", zone=spill.availability_zone)
+        self.trace.add(active.request.id, "passed on", zone=spill.availability_zone)
         try:
-            refusal = await job.guard.confirm()
+            refusal = await active.guard.confirm()
             if refusal:
-                return Final(refusal)
-            attempt = await self._passer.pass_on(job.request, spill, job.sink)
+                return Finished(refusal)
+            attempt = await self._passer.pass_on(active.request, spill, active.sink)
         finally:
             self._permits.end_spill(spill)
-        if attempt.code and attempt.run == RUN_NO and not job.sink.started:
-            return Again(attempt.code.name)
-        return self._judge(attempt, "", job)
+        if attempt.code and attempt.run == RUN_NO and not active.sink.started:
+            return Retry(attempt.code.name)
+        return self._handle_attempt(attempt, "", active)
 
-    def _ask_anew(self, request, now):
+    def _handle_expired_permit(self, request, now):
         """The permit ran out, unused, before it could be dispatched."""
         if request.deadline - now < request.service.work_s:
-            return Final(make_refusal(Code.DEADLINE_UNREACHABLE, 1.0))
-        return Again("PERMIT_EXPIRED")
+            return Finished(make_refusal(Code.DEADLINE_UNREACHABLE, 1.0))
+        return Retry("PERMIT_EXPIRED")
 
-    def _judge(self, attempt, upstream, job):
+    def _handle_attempt(self, attempt, upstream, active):
         now = asyncio.get_running_loop().time()
         if attempt.code is None:
-            self.policy.note_success(job.request, now)
-            self.trace.add(job.request.id, "answered")
-            return Final(None)
+            self.policy.note_success(active.request, now)
+            self.trace.add(active.request.id, "answered")
+            return Finished(None)
         self.trace.add(
-            job.request.id,
+            active.request.id,
             "failed",
             code=attempt.code.name,
             run=attempt.run,
             detail=attempt.detail,
         )
-        job.tries.note(upstream, attempt.run)
+        active.attempts.note(upstream, attempt.run)
         failure = Failure(attempt.outcome, attempt.run, attempt.code, attempt.detail)
-        crashes = self.policy.note_failure(job.request, failure, upstream, now)
+        crashes = self.policy.note_failure(active.request, failure, upstream, now)
         if crashes >= CRASHES_TO_STOP:
-            fingerprint = job.request.fingerprint
+            fingerprint = active.request.fingerprint
             self._passer.warn(Poison(fingerprint, upstream, crashes))
-        if job.sink.started and not job.sink.resume:
-            return Final(make_refusal(attempt.code, 1.0, attempt.detail))
-        decided = self.policy.decide(job.request, failure, job.tries, now)
-        if decided.is_err():
-            return Final(decided.unwrap_err())
-        return Again(decided.unwrap())
+        if active.sink.started and not active.sink.resume:
+            return Finished(make_refusal(attempt.code, 1.0, attempt.detail))
+        decision = self.policy.decide(active.request, failure, active.attempts, now)
+        if decision.is_err():
+            return Finished(decision.unwrap_err())
+        return Retry(decision.unwrap())
--- a/godwitlanding/daemons/services/requests.py
+++ b/godwitlanding/daemons/services/requests.py
@@ -202,7 +202,7 @@
     async def _run(self, request, sink):
         if request.needs_ticket:
             return await self._claims.run(request, sink)
-        return await self._carrier.carry(request, sink)
+        return await self._carrier.execute(request, sink)
 
 
 def _qualify(refusal, scope):
--- a/godwitlanding/daemons/services/answers.py
+++ b/godwitlanding/daemons/services/steerapi.py
@@ -21,17 +21,17 @@
 # The parts of answers that are kept encoded. Whole answers are not: orders
 # of 24 VMs differ for nearly every caller, and encoding each anew took a
 # fifth of the time of a look-up.
-MAX_KEPT = 8192
+MAX_CACHED_PARTS = 8192
 
 
-class Encoded(NamedTuple):
+class EncodedResponse(NamedTuple):
     """An answer as the two messages that ASGI takes."""
 
     start: dict
     body: dict
 
 
-class Answers(Service):
+class SteerApi(Service):
     """An ASGI app that puts answers together from encoded parts."""
 
     name = "answers"
@@ -72,7 +72,7 @@
         is_http = scope["type"] == "http"
         if is_http and scope["path"].startswith(STEER_PATH):
             if scope["method"] in ("GET", "HEAD"):
-                await self._answer_look_up(scope, receive, send)
+                await self._handle_lookup(scope, receive, send)
                 return
         await self._app(scope, receive, send)
 
@@ -80,9 +80,9 @@
         """Tell callers with each answer that their connection closes."""
         self._extra_headers = [(b"connection", b"close")]
 
-    async def _answer_look_up(self, scope, receive, send):
+    async def _handle_lookup(self, scope, receive, send):
         service = scope["path"][len(STEER_PATH) :]
-        found = self._find_answer(service, self._find_caller(scope))
+        found = self._make_lookup_response(service, self._get_caller(scope))
         if isinstance(found, Refusal):
             await self._refuse(found)(scope, receive, send)
             return
@@ -90,9 +90,9 @@
         await send(found.start)
         await send(found.body)
 
-    def _find_answer(self, service, caller):
+    def _make_lookup_response(self, service, caller):
         """Return the ``Encoded`` answer for a caller, or a refusal."""
-        refusal = self._find_refusal(service)
+        refusal = self._check_service(service)
         if refusal:
             return refusal
         routing = self._routing
@@ -112,7 +112,7 @@
             (b"cache-control", self._cache_control),
             *self._extra_headers,
         ]
-        return Encoded(
+        return EncodedResponse(
             {"type": "http.response.start", "status": 200, "headers": headers},
             {"type": "http.response.body", "body": body},
         )
@@ -127,7 +127,7 @@
                 "availability_zone": target.availability_zone,
                 "url": f"http://{target.address}:{port}/s/{service}",
             }
-            choice = self._keep(self._choice_by_key, key, json.dumps(value))
+            choice = self._cache(self._choice_by_key, key, json.dumps(value))
         return choice
 
     def _get_tail(self, service, origin, versions):
@@ -142,17 +142,17 @@
                 "origin_zone": origin,
             }
             text = "], " + json.dumps(value).removeprefix("{")
-            tail = self._keep(self._tail_by_key, key, text)
+            tail = self._cache(self._tail_by_key, key, text)
         return tail
 
     @staticmethod
-    def _keep(kept, key, text):
-        if len(kept) >= MAX_KEPT:
-            kept.clear()
-        kept[key] = text.encode()
-        return kept[key]
+    def _cache(cache, key, text):
+        if len(cache) >= MAX_CACHED_PARTS:
+            cache.clear()
+        cache[key] = text.encode()
+        return cache[key]
 
-    def _find_caller(self, scope):
+    def _get_caller(self, scope):
         if self._trusts_header:
             for name, value in scope["headers"]:
                 if name == _CALLER_HEADER:
@@ -162,15 +162,15 @@
 
     async def _post_ticket(self, request):
         service = request.path_params["service"]
-        refusal = self._find_refusal(service)
+        refusal = self._check_service(service)
         if refusal:
             return self._refuse(refusal)
-        caller = self._find_caller(request.scope)
-        was_sent = "from" in request.query_params
-        answer = self._tickets.answer(caller, service, request.url.path, was_sent)
+        caller = self._get_caller(request.scope)
+        was_redirected = "from" in request.query_params
+        answer = self._tickets.answer(caller, service, request.url.path, was_redirected)
         return answer if isinstance(answer, Response) else self._refuse(answer)
 
-    def _find_refusal(self, service):
+    def _check_service(self, service):
         if not self._routing.is_ready():
             return make_refusal(Code.NOT_READY, NOT_READY_RETRY_S)
         if service not in self._routing.config.service_by_name:
--- a/godwitlanding/daemons/services/leave.py
+++ b/godwitlanding/daemons/services/steershutdown.py
@@ -5,7 +5,7 @@
 from godwitlanding.base.kernel import Service
 
 
-class Leave(Service):
+class SteerShutdown(Service):
     """Keeps answering for one max-age after a stop was asked for.
 
     The first answer after the signal names this VM no more. A caller that
@@ -18,7 +18,7 @@
 
     def __init__(self, context):
         settings = context.settings
-        self._linger_s = min(settings["steer_max_age_s"], settings["stop_limit_s"])
+        self._drain_s = min(settings["steer_max_age_s"], settings["stop_limit_s"])
         self._kernel = None
 
     async def start(self, kernel):
@@ -29,4 +29,4 @@
         """Leave the answers, then go on answering for one max-age."""
         self._kernel.get("routing").leave()
         self._kernel.get("answers").close_connections()
-        await asyncio.sleep(self._linger_s)
+        await asyncio.sleep(self._drain_s)
--- a/godwitlanding/daemons/services/summary.py
+++ b/godwitlanding/daemons/services/summary.py
@@ -67,7 +67,7 @@
         now = self._now()
         writer = self._replication.choose_reader()
         address = self._members.get_peer_addresses().get(writer)
-        for service, desk in self._arbitration.desk_by_service.items():
+        for service, desk in self._arbitration.permit_server_by_service.items():
             if not desk.active:
                 continue
             body = json.dumps(self._make_row(service, desk, now)).encode()
--- a/godwitlanding/daemons/services/departure.py
+++ b/godwitlanding/daemons/services/zoneshutdown.py
@@ -6,7 +6,7 @@
 from godwitlanding.base.log import log_warning
 
 
-class Departure(Service):
+class ZoneShutdown(Service):
     """Takes this VM out of answers, gives up its upstreams, then ends."""
 
     name = "departure"
@@ -39,10 +39,10 @@
         await members.announce()
         limit_s = self._context.settings["stop_limit_s"]
         try:
-            await asyncio.wait_for(self._give_up(), limit_s)
+            await asyncio.wait_for(self._hand_over(), limit_s)
         except TimeoutError:
             log_warning("departure:limit_reached", waited_s=limit_s)
 
-    async def _give_up(self):
-        await self._kernel.get("arbitration").give_up()
-        await self._kernel.get("lending").give_up()
+    async def _hand_over(self):
+        await self._kernel.get("arbitration").hand_over()
+        await self._kernel.get("lending").hand_over()
--- a/godwitlanding/entry.py
+++ b/godwitlanding/entry.py
@@ -12,16 +12,16 @@
 from godwitlanding.base.store import HttpStore
 from godwitlanding.base.web import HttpServer, make_status_routes
 from godwitlanding.daemons import daemon
-from godwitlanding.daemons.services.carrier import Carrier
 from godwitlanding.daemons.services.claims import ClaimService
+from godwitlanding.daemons.services.entryshutdown import EntryShutdown
 from godwitlanding.daemons.services.feed import Feed
 from godwitlanding.daemons.services.holder import HolderServer
+from godwitlanding.daemons.services.idempotencykeys import IdempotencyKeyService
 from godwitlanding.daemons.services.journal import JournalWriter
-from godwitlanding.daemons.services.keys import KeyService
-from godwitlanding.daemons.services.linger import Linger
 from godwitlanding.daemons.services.once import OnceRunner
 from godwitlanding.daemons.services.passer import Passer
 from godwitlanding.daemons.services.permits import PermitClient
+from godwitlanding.daemons.services.requestexecutor import RequestExecutor
 from godwitlanding.daemons.services.requests import RequestHandler
 from godwitlanding.daemons.services.upstreams import UpstreamClient
 
@@ -53,15 +53,15 @@
         PermitClient(context),
         UpstreamClient(context),
         Passer(context),
-        Carrier(context),
+        RequestExecutor(context),
         OnceRunner(context),
         JournalWriter(context, store),
-        KeyService(context, store),
+        IdempotencyKeyService(context, store),
         ClaimService(context),
         HolderServer(context),
         requests,
         server,
-        Linger(context),
+        EntryShutdown(context),
     ]
 
 
--- a/godwitlanding/steer.py
+++ b/godwitlanding/steer.py
@@ -4,11 +4,11 @@
 
 from godwitlanding.base.web import HttpServer
 from godwitlanding.daemons.daemon import run_daemon
-from godwitlanding.daemons.services.answers import Answers
-from godwitlanding.daemons.services.callers import Callers
+from godwitlanding.daemons.services.callerlocator import CallerLocator
 from godwitlanding.daemons.services.feed import Feed
-from godwitlanding.daemons.services.leave import Leave
 from godwitlanding.daemons.services.routing import Routing
+from godwitlanding.daemons.services.steerapi import SteerApi
+from godwitlanding.daemons.services.steershutdown import SteerShutdown
 from godwitlanding.daemons.services.tickets import Tickets
 
 DESCRIPTION = "Tell callers which entry VMs to use and issue tickets."
@@ -18,7 +18,7 @@
 
 def make_services(context):
     """Return the services of a steer process."""
-    answers = Answers(context)
+    answers = SteerApi(context)
     server = HttpServer(
         "steer_http",
         answers,
@@ -29,12 +29,12 @@
     )
     return [
         Feed(context, KINDS),
-        Callers(context),
+        CallerLocator(context),
         Routing(context),
         Tickets(context),
         answers,
         server,
-        Leave(context),
+        SteerShutdown(context),
     ]
 
 
--- a/godwitlanding/tests/daemons/memory_wire.py
+++ b/godwitlanding/tests/daemons/memory_network.py
@@ -21,7 +21,7 @@
 ENTRY_PORT = 7102
 
 
-class Network:
+class MemoryNetwork:
     """Listeners by address, and who cannot reach whom."""
 
     def __init__(self):
@@ -46,10 +46,10 @@
         self._tasks = set()
 
     def send(self, message):
-        self._run(self.other.take(message))
+        self._run(self.other.receive(message))
 
     async def call(self, message, timeout_s):
-        task = self._run(self.other.take(message))
+        task = self._run(self.other.receive(message))
         done, _ = await asyncio.wait((task,), timeout=timeout_s)
         if not done or task.result() is None:
             return Err(make_refusal(Code.CALL_TIMEOUT))
@@ -58,7 +58,7 @@
             return Err(make_refusal(Code(answer.code)))
         return Ok(answer)
 
-    async def take(self, message):
+    async def receive(self, message):
         self._network.sent += 1
         await asyncio.sleep(0.001)
         reachable = self._network.can_reach(self._own.vm, self.peer.vm)
@@ -108,16 +108,16 @@
         return Ok(near)
 
     async def call(self, address, message, timeout_s):
-        dialled = await self.get_channel(address)
-        if dialled.is_err():
-            return dialled
-        return await dialled.unwrap().call(message, timeout_s)
+        connected = await self.get_channel(address)
+        if connected.is_err():
+            return connected
+        return await connected.unwrap().call(message, timeout_s)
 
     async def send(self, address, message):
-        dialled = await self.get_channel(address)
-        if dialled.is_ok():
-            dialled.unwrap().send(message)
-        return dialled
+        connected = await self.get_channel(address)
+        if connected.is_ok():
+            connected.unwrap().send(message)
+        return connected
 
     async def stop(self):
         for channel in self._channel_by_address.values():
@@ -149,7 +149,7 @@
             channel.close()
 
 
-class Named(Service):
+class PlaceholderService(Service):
     """A service that is only found by its name."""
 
     def __init__(self, name):
@@ -184,7 +184,11 @@
         self.listener = MemoryListener(
             network, self.context, f"{self.address}:{ZONE_PORT}"
         )
-        services += [Named("http"), Named("probes"), self.listener]
+        services += [
+            PlaceholderService("http"),
+            PlaceholderService("probes"),
+            self.listener,
+        ]
         self.kernel = Kernel(services)
         self._make_entry(network, read.unwrap())
 
@@ -195,14 +199,14 @@
         async def answer(channel, message):
             return Held(self.permits)
 
-        async def take(channel, state):
+        async def receive(channel, state):
             self.entry_context.replica.offer(state)
 
         address = f"{self.address}:{ENTRY_PORT}"
         handlers = {Holdings: answer}
         self._entry = MemoryListener(network, self.entry_context, address, handlers)
         hello = self.entry_context.make_hello()
-        self.entry_pool = MemoryPool(network, hello, {State: take})
+        self.entry_pool = MemoryPool(network, hello, {State: receive})
 
     async def start(self):
         await self._entry.start(None)
@@ -231,7 +235,7 @@
 
     def __init__(self, vms, zone_by_vm=None):
         self.store = FakeStore()
-        self.network = Network()
+        self.network = MemoryNetwork()
         zone_by_vm = zone_by_vm or {}
         self.daemon_by_vm = {
             vm: Daemon(self.network, self.store, vm, zone_by_vm.get(vm, "a"))
--- a/godwitlanding/tests/daemons/support_entry.py
+++ b/godwitlanding/tests/daemons/support_entry.py
@@ -78,7 +78,7 @@
     }
 
 
-class FakeZone:
+class FakeZoneDaemon:
     """A zone daemon that grants every request, or answers as told.
 
     ``answer`` may be a function of an ``Acquire`` that returns the answer,
@@ -105,10 +105,10 @@
             Subscribe: self._subscribe,
             Fetch: self._fetch,
             Acquire: self._acquire,
-            Release: self._note(self.released),
-            Withdraw: self._note(self.withdrawn),
-            Signal: self._note(self.signals),
-            Heartbeat: self._note(self.heartbeats),
+            Release: self._make_recorder(self.released),
+            Withdraw: self._make_recorder(self.withdrawn),
+            Signal: self._make_recorder(self.signals),
+            Heartbeat: self._make_recorder(self.heartbeats),
         }
         self._server = Server(hello, handlers, Counters())
 
@@ -155,20 +155,20 @@
         if asyncio.iscoroutine(answer):
             answer = await answer
         if answer is None:
-            answer = self._choose(message)
+            answer = self._grant_first_allowed(message)
         return answer
 
-    def _choose(self, message):
+    def _grant_first_allowed(self, message):
         for number, address in enumerate(self.upstreams):
             if f"u{number}" not in message.excluded_upstreams:
                 return self.grant(f"u{number}", address)
         return Refused(2004, 1.0)
 
-    def _note(self, messages):
-        async def take(channel, message):
+    def _make_recorder(self, messages):
+        async def record(channel, message):
             messages.append(message)
 
-        return take
+        return record
 
 
 class RawUpstream:
@@ -218,7 +218,7 @@
     return ""
 
 
-def make_answer(head, body, *lines, status="200 OK"):
+def make_raw_response(head, body, *lines, status="200 OK"):
     """Return a whole raw answer to the request in ``head``."""
     rows = [
         f"HTTP/1.1 {status}",
@@ -229,9 +229,9 @@
     return "\r\n".join([*rows, "", ""]).encode() + body
 
 
-async def answer_hello(writer, head, body):
+async def respond_hello(writer, head, body):
     """Answer like an upstream that is well."""
-    writer.write(make_answer(head, b"hello"))
+    writer.write(make_raw_response(head, b"hello"))
 
 
 def make_members(*rows, service_names=("status", "pay", "passes")):
@@ -270,13 +270,13 @@
     return check_settings(json.dumps(values)).unwrap()
 
 
-class Bench:
+class EntryHarness:
     """An entry process, its zone daemon and its upstreams, started."""
 
     def __init__(self, address, scripts, store=None, **settings):
         self.address = address
         self.url = f"http://{address}:{ENTRY_PORT}"
-        self.zone = FakeZone(address)
+        self.zone = FakeZoneDaemon(address)
         self.upstreams = [
             RawUpstream(f"{address}:{UPSTREAM_PORT + number}", script)
             for number, script in enumerate(scripts)
--- a/godwitlanding/tests/daemons/test_entry.py
+++ b/godwitlanding/tests/daemons/test_entry.py
@@ -9,31 +9,31 @@
 from godwitlanding.base.messages import Failure, Refused
 from godwitlanding.tests.daemons.support_entry import (
     ADDRESS,
-    Bench,
-    answer_hello,
+    EntryHarness,
     get_header,
-    make_answer,
+    make_raw_response,
+    respond_hello,
     wait_until,
 )
 
 
-async def fetch(bench, path="/s/status/x", method="GET", **keywords):
+async def fetch(harness, path="/s/status/x", method="GET", **options):
     """Return status, headers and body of one request."""
     async with aiohttp.ClientSession() as session:
-        async with session.request(method, bench.url + path, **keywords) as answer:
+        async with session.request(method, harness.url + path, **options) as answer:
             return answer.status, answer.headers, await answer.read()
 
 
-async def test_request_is_carried_whole():
-    async with Bench(ADDRESS, [answer_hello]) as bench:
-        status, headers, body = await fetch(bench, "/s/status/a%2Fb?q=1%20")
+async def test_request_is_forwarded_unchanged():
+    async with EntryHarness(ADDRESS, [respond_hello]) as harness:
+        status, headers, body = await fetch(harness, "/s/status/a%2Fb?q=1%20")
         assert (status, body) == (200, b"hello")
-        head = bench.upstreams[0].heads[0]
+        head = harness.upstreams[0].heads[0]
         assert head.startswith("GET /a%2Fb?q=1%20 HTTP/1.1")
         assert get_header(head, "Request-Id") == headers["Godwit-Request-Id"]
         assert 0 < float(get_header(head, "Request-Deadline")) <= 5
-        await wait_until(lambda: bench.zone.released)
-        assert bench.zone.released[0].outcome == "ok"
+        await wait_until(lambda: harness.zone.released)
+        assert harness.zone.released[0].outcome == "ok"
 
 
 @pytest.mark.parametrize(
@@ -46,15 +46,15 @@
     ],
 )
 async def test_bad_request_is_refused(path, headers, status, code):
-    async with Bench(ADDRESS, [answer_hello]) as bench:
-        answer = await fetch(bench, path, headers=headers)
+    async with EntryHarness(ADDRESS, [respond_hello]) as harness:
+        answer = await fetch(harness, path, headers=headers)
         assert answer[0] == status
         assert f'"code":{code}'.encode() in answer[2]
         assert answer[1]["Godwit-Request-Id"]
-        assert not bench.upstreams[0].heads
+        assert not harness.upstreams[0].heads
 
 
-async def test_more_requests_than_a_process_takes_are_refused_by_number():
+async def test_requests_over_max_connections_are_refused_with_a_code():
     """Callers send more at once than the settings allow one process.
 
     The surplus is told at once to come back; a plain 503 would not say
@@ -65,65 +65,65 @@
     async def wait(writer, head, body):
         reached.set()
         await release.wait()
-        writer.write(make_answer(head, b"hello"))
+        writer.write(make_raw_response(head, b"hello"))
 
-    async with Bench(ADDRESS, [wait], max_connections=1) as bench:
-        first = asyncio.ensure_future(fetch(bench))
+    async with EntryHarness(ADDRESS, [wait], max_connections=1) as harness:
+        first = asyncio.ensure_future(fetch(harness))
         await reached.wait()
-        status, headers, body = await fetch(bench)
+        status, headers, body = await fetch(harness)
         release.set()
         assert (status, headers["Retry-After"]) == (503, "1")
         assert b'"code":2001' in body and b'"run":"no"' in body
         assert (await first)[0] == 200
 
 
-async def test_request_is_not_held_back_while_no_arbiter_answers():
+async def test_request_is_refused_early_while_no_arbiter_responds():
     """A zone has lost its arbiters for longer than a take-over lasts.
 
     Callers that were held until their deadline could not go to another zone
     any more; they are told to as soon as the wait has become vain.
     """
-    async with Bench(ADDRESS, [answer_hello], loan_s=0.1) as bench:
-        bench.zone.answer = lambda message: Failure(Code.NO_ARBITER.value)
-        status, headers, body = await fetch(bench, "/s/passes/x")
+    async with EntryHarness(ADDRESS, [respond_hello], loan_s=0.1) as harness:
+        harness.zone.answer = lambda message: Failure(Code.NO_ARBITER.value)
+        status, headers, body = await fetch(harness, "/s/passes/x")
         assert b'"code":5003' in body and headers["Retry-After"] == "1"
-        first, last = bench.zone.asked[0], bench.zone.asked[-1]
+        first, last = harness.zone.asked[0], harness.zone.asked[-1]
         assert last.remaining_s > first.remaining_s / 2
 
 
 @pytest.mark.parametrize("chunked", [False, True])
 async def test_too_large_body_is_refused(chunked):
-    async with Bench(ADDRESS, [answer_hello], max_body_bytes=1000) as bench:
+    async with EntryHarness(ADDRESS, [respond_hello], max_body_bytes=1000) as harness:
 
         async def stream():
             yield b"x" * 2000
 
         data = stream() if chunked else b"x" * 2000
-        status, _, body = await fetch(bench, method="PUT", data=data)
+        status, _, body = await fetch(harness, method="PUT", data=data)
         assert (status, b'"code":1003' in body) == (413, True)
-        assert not bench.zone.asked
+        assert not harness.zone.asked
 
 
 async def test_refusal_of_the_arbiter_reaches_the_caller():
-    async with Bench(ADDRESS, [answer_hello]) as bench:
-        bench.zone.answer = lambda message: Refused(2001, 3.0)
-        status, headers, body = await fetch(bench)
+    async with EntryHarness(ADDRESS, [respond_hello]) as harness:
+        harness.zone.answer = lambda message: Refused(2001, 3.0)
+        status, headers, body = await fetch(harness)
         assert (status, headers["Retry-After"]) == (503, "3")
         assert b'"run":"no"' in body
-        assert bench.counters.get("requests_refused", code="QUEUE_FULL") == 1
+        assert harness.counters.get("requests_refused", code="QUEUE_FULL") == 1
 
 
 async def test_long_upload_and_download_are_streamed():
     async def echo(writer, head, body):
-        writer.write(make_answer(head, body * 8))
+        writer.write(make_raw_response(head, body * 8))
 
-    async with Bench(ADDRESS, [echo]) as bench:
+    async with EntryHarness(ADDRESS, [echo]) as harness:
         data = b"0123456789abcdef" * 30_000
-        status, _, body = await fetch(bench, "/s/passes/x", "PUT", data=data)
+        status, _, body = await fetch(harness, "/s/passes/x", "PUT", data=data)
         assert (status, body == data * 8) == (200, True)
 
 
-async def test_caller_that_goes_gives_its_slot_back():
+async def test_permit_is_released_when_the_caller_disconnects():
     """A caller closes its connection while the upstream works for it.
 
     Were its permit kept, others would wait for a slot that works for nobody.
@@ -132,21 +132,21 @@
     async def hang(writer, head, body):
         await asyncio.sleep(60)
 
-    async with Bench(ADDRESS, [hang]) as bench:
-        task = asyncio.ensure_future(fetch(bench))
-        await wait_until(lambda: bench.upstreams[0].heads)
+    async with EntryHarness(ADDRESS, [hang]) as harness:
+        task = asyncio.ensure_future(fetch(harness))
+        await wait_until(lambda: harness.upstreams[0].heads)
         task.cancel()
-        await wait_until(lambda: bench.zone.released)
-        assert bench.zone.released[0].outcome == "cancelled"
+        await wait_until(lambda: harness.zone.released)
+        assert harness.zone.released[0].outcome == "cancelled"
 
 
-async def test_caller_that_goes_while_it_waits_is_withdrawn():
+async def test_queued_request_is_withdrawn_when_the_caller_disconnects():
     """A caller gives up in the queue; the arbiter must not grant it a slot."""
-    async with Bench(ADDRESS, [answer_hello]) as bench:
-        bench.zone.answer = lambda message: asyncio.sleep(60)
-        task = asyncio.ensure_future(fetch(bench))
-        await wait_until(lambda: bench.zone.asked)
+    async with EntryHarness(ADDRESS, [respond_hello]) as harness:
+        harness.zone.answer = lambda message: asyncio.sleep(60)
+        task = asyncio.ensure_future(fetch(harness))
+        await wait_until(lambda: harness.zone.asked)
         task.cancel()
-        await wait_until(lambda: bench.zone.withdrawn)
-        asked, withdrawn = bench.zone.asked[0], bench.zone.withdrawn[0]
+        await wait_until(lambda: harness.zone.withdrawn)
+        asked, withdrawn = harness.zone.asked[0], harness.zone.withdrawn[0]
         assert withdrawn.request_id == asked.request_id
--- a/godwitlanding/tests/daemons/test_linger.py
+++ b/godwitlanding/tests/daemons/test_entryshutdown.py
@@ -7,14 +7,14 @@
 
 from godwitlanding.tests.daemons.support_entry import (
     ADDRESS,
-    Bench,
-    make_answer,
+    EntryHarness,
+    make_raw_response,
     wait_until,
 )
 from godwitlanding.tests.daemons.test_entry import fetch
 
 
-async def test_stop_cuts_off_nobody():
+async def test_stop_interrupts_no_request():
     """An entry process is stopped under load, as in a planned replacement.
 
     A download that runs goes on to its end, and a caller with a cached
@@ -23,38 +23,40 @@
     may_end = asyncio.Event()
 
     async def serve(writer, head, body):
-        answer = make_answer(head, b"x" * 200_000)
+        answer = make_raw_response(head, b"x" * 200_000)
         writer.write(answer[:-5])
         if "bundle" in head:
             await may_end.wait()
         writer.write(answer[-5:])
 
-    slept = asyncio.Queue()
-    answers_ran_out = asyncio.Event()
+    sleep_durations = asyncio.Queue()
+    drain_ended = asyncio.Event()
 
     async def sleep(duration_s):
-        await slept.put(duration_s)
-        await answers_ran_out.wait()
+        await sleep_durations.put(duration_s)
+        await drain_ended.wait()
 
-    async with Bench(ADDRESS, [serve], steer_max_age_s=5.0, summary_s=2.0) as bench:
-        bench.kernel.get("linger")._sleep = sleep
-        download = asyncio.ensure_future(fetch(bench, "/s/passes/bundle"))
-        await wait_until(lambda: bench.upstreams[0].heads)
-        stop = asyncio.ensure_future(bench.kernel.stop())
-        assert await slept.get() >= 7.0
-        await wait_until(lambda: bench.zone.heartbeats)
-        assert bench.zone.heartbeats[0].leaving
-        status, headers, body = await fetch(bench)
+    async with EntryHarness(
+        ADDRESS, [serve], steer_max_age_s=5.0, summary_s=2.0
+    ) as harness:
+        harness.kernel.get("linger")._sleep = sleep
+        download = asyncio.ensure_future(fetch(harness, "/s/passes/bundle"))
+        await wait_until(lambda: harness.upstreams[0].heads)
+        stop = asyncio.ensure_future(harness.kernel.stop())
+        assert await sleep_durations.get() >= 7.0
+        await wait_until(lambda: harness.zone.heartbeats)
+        assert harness.zone.heartbeats[0].leaving
+        status, headers, body = await fetch(harness)
         assert (status, headers["Connection"]) == (200, "close")
-        answers_ran_out.set()
-        server = bench.kernel.get("server")
+        drain_ended.set()
+        server = harness.kernel.get("server")
         await wait_until(lambda: server._server.should_exit)
         assert not stop.done()
         may_end.set()
         assert len((await download)[2]) == 200_000
         await stop
         with pytest.raises(aiohttp.ClientConnectorError):
-            await fetch(bench)
+            await fetch(harness)
 
 
 async def test_stop_ends_at_its_limit():
@@ -63,9 +65,9 @@
     async def hang(writer, head, body):
         await asyncio.sleep(60)
 
-    async with Bench(ADDRESS, [hang], stop_limit_s=0.5) as bench:
-        request = asyncio.ensure_future(fetch(bench, "/s/passes/x"))
-        await wait_until(lambda: bench.upstreams[0].heads)
-        await asyncio.wait_for(bench.kernel.stop(), 10)
+    async with EntryHarness(ADDRESS, [hang], stop_limit_s=0.5) as harness:
+        request = asyncio.ensure_future(fetch(harness, "/s/passes/x"))
+        await wait_until(lambda: harness.upstreams[0].heads)
+        await asyncio.wait_for(harness.kernel.stop(), 10)
         assert not request.done()
         request.cancel()
--- a/godwitlanding/tests/daemons/test_holdings.py
+++ b/godwitlanding/tests/daemons/test_holdings.py
@@ -8,8 +8,8 @@
 from godwitlanding.daemons.holdings import EXPIRED, STALE, HeldPermits
 from godwitlanding.tests.daemons.support_entry import (
     ADDRESS,
-    Bench,
-    answer_hello,
+    EntryHarness,
+    respond_hello,
     wait_until,
 )
 from godwitlanding.tests.daemons.test_entry import fetch
@@ -75,19 +75,19 @@
     If the grant were not released, its slot would be idle until the permit
     expires.
     """
-    async with Bench(ADDRESS, [answer_hello]) as bench:
+    async with EntryHarness(ADDRESS, [respond_hello]) as harness:
 
         async def grant_late():
-            await wait_until(lambda: bench.zone.withdrawn)
-            return bench.zone.grant()
+            await wait_until(lambda: harness.zone.withdrawn)
+            return harness.zone.grant()
 
-        bench.zone.answer = lambda asked: grant_late()
-        task = asyncio.ensure_future(fetch(bench))
-        await wait_until(lambda: bench.zone.asked)
+        harness.zone.answer = lambda asked: grant_late()
+        task = asyncio.ensure_future(fetch(harness))
+        await wait_until(lambda: harness.zone.asked)
         task.cancel()
-        await wait_until(lambda: bench.zone.released)
-        assert bench.zone.released[0].outcome == "unused"
-        assert not bench.upstreams[0].heads
+        await wait_until(lambda: harness.zone.released)
+        assert harness.zone.released[0].outcome == "unused"
+        assert not harness.upstreams[0].heads
 
 
 async def test_request_moves_from_a_silent_arbiter_to_its_replacement():
@@ -96,19 +96,19 @@
     If the requests did not move to the new arbiter, their callers would
     wait until their deadlines.
     """
-    async with Bench(ADDRESS, [answer_hello]) as bench:
+    async with EntryHarness(ADDRESS, [respond_hello]) as harness:
 
         async def stay_silent():
             await asyncio.sleep(60)
 
-        bench.zone.answer = lambda asked: stay_silent()
-        task = asyncio.ensure_future(fetch(bench))
-        await wait_until(lambda: bench.zone.asked)
-        bench.zone.answer = None
-        members = bench.kernel.get("feed").view.get_members()
+        harness.zone.answer = lambda asked: stay_silent()
+        task = asyncio.ensure_future(fetch(harness))
+        await wait_until(lambda: harness.zone.asked)
+        harness.zone.answer = None
+        members = harness.kernel.get("feed").view.get_members()
         row = members[0]._asdict()
         other = {**row, "vm": "za2"}
         arbiters = {"status": ["za2", "za1"]}
         body = {"members": [row, other], "arbiters_by_service": arbiters}
-        bench.zone.push("members", "za", body)
+        harness.zone.push("members", "za", body)
         assert (await task)[0] == 200
--- a/godwitlanding/tests/daemons/test_carry.py
+++ b/godwitlanding/tests/daemons/test_requestexecutor.py
@@ -11,47 +11,47 @@
     ADDRESS,
     KEY,
     OTHER_ADDRESS,
-    Bench,
-    answer_hello,
+    EntryHarness,
     get_header,
-    make_answer,
     make_config,
+    make_raw_response,
+    respond_hello,
     wait_until,
 )
 from godwitlanding.tests.daemons.test_entry import fetch
 
-WHOLE = bytes(range(256)) * 1000
+FULL_BODY = bytes(range(256)) * 1000
 
 
 async def crash(writer, head, body):
     writer.close()
 
 
-async def break_off(writer, head, body):
+async def send_half_response(writer, head, body):
     """Promise 100 bytes and die after 50."""
-    writer.write(make_answer(head, b"x" * 100)[:-50])
+    writer.write(make_raw_response(head, b"x" * 100)[:-50])
     await writer.drain()
     writer.close()
 
 
-def refuse_with(word):
+def make_refusing_script(refusal_reason):
     async def refuse(writer, head, body):
-        line = f"Upstream-Refused: {word}"
-        writer.write(make_answer(head, b"", line, status="503 No"))
+        line = f"Upstream-Refused: {refusal_reason}"
+        writer.write(make_raw_response(head, b"", line, status="503 No"))
 
     return refuse
 
 
-async def answer_endless(writer, head, body):
+async def respond_without_length(writer, head, body):
     """Answer without a length: its end cannot be told from a break."""
     writer.write(b"HTTP/1.1 200 OK\r\n\r\nhalf an answer")
     await writer.drain()
     writer.close()
 
 
-async def answer_another(writer, head, body):
+async def respond_to_another_request(writer, head, body):
     """Give the answer to somebody else's request."""
-    answer = make_answer(head, b"another caller's pass")
+    answer = make_raw_response(head, b"another caller's pass")
     request_id = get_header(head, "Request-Id").encode()
     writer.write(answer.replace(request_id, b"0" * len(request_id)))
 
@@ -60,72 +60,74 @@
     ("script", "outcome", "reason"),
     [
         (crash, "crashed", "UPSTREAM_FAILED"),
-        (break_off, "crashed", "UPSTREAM_FAILED"),
-        (answer_endless, "failed", "UPSTREAM_FAILED"),
-        (answer_another, "failed", "UPSTREAM_FAILED"),
-        (refuse_with("shed"), "shed", "UPSTREAM_SHED"),
-        (refuse_with("draining"), "leaving", "UPSTREAM_LEAVING"),
+        (send_half_response, "crashed", "UPSTREAM_FAILED"),
+        (respond_without_length, "failed", "UPSTREAM_FAILED"),
+        (respond_to_another_request, "failed", "UPSTREAM_FAILED"),
+        (make_refusing_script("shed"), "shed", "UPSTREAM_SHED"),
+        (make_refusing_script("draining"), "leaving", "UPSTREAM_LEAVING"),
     ],
 )
-async def test_look_up_is_tried_at_another_upstream(script, outcome, reason):
+async def test_failed_lookup_is_retried_at_another_upstream(script, outcome, reason):
     """The first upstream fails a look-up in one of the ways that it can.
 
     The caller sees nothing of it but the complete answer of the second.
     """
-    async with Bench(ADDRESS, [script, answer_hello]) as bench:
-        status, _, body = await fetch(bench)
+    async with EntryHarness(ADDRESS, [script, respond_hello]) as harness:
+        status, _, body = await fetch(harness)
         assert (status, body) == (200, b"hello")
-        await wait_until(lambda: len(bench.zone.released) == 2)
-        assert [r.outcome for r in bench.zone.released] == [outcome, "ok"]
-        counted = bench.counters.get(
+        await wait_until(lambda: len(harness.zone.released) == 2)
+        assert [r.outcome for r in harness.zone.released] == [outcome, "ok"]
+        count = harness.counters.get(
             "requests_retried", reason=reason, service="status"
         )
-        assert counted == 1
+        assert count == 1
 
 
-async def test_upstream_that_cannot_be_reached_has_not_run_it():
+async def test_unreachable_upstream_is_reported_as_not_run():
     """An upstream is gone; nothing was sent, and the caller is told so."""
-    async with Bench(ADDRESS, [answer_hello]) as bench:
-        await bench.upstreams[0].stop()
-        status, _, body = await fetch(bench)
+    async with EntryHarness(ADDRESS, [respond_hello]) as harness:
+        await harness.upstreams[0].stop()
+        status, _, body = await fetch(harness)
         assert (status, b'"run":"no"' in body) == (503, True)
 
 
-async def test_not_run_is_not_said_when_an_earlier_try_may_have_run():
+async def test_refused_retry_after_a_crash_is_reported_as_unknown():
     """The first upstream crashes and the arbiter then refuses a second try.
 
     Told that nothing ran, the caller would take a half-done work for none.
     """
-    async with Bench(ADDRESS, [crash]) as bench:
-        status, _, body = await fetch(bench)
+    async with EntryHarness(ADDRESS, [crash]) as harness:
+        status, _, body = await fetch(harness)
         assert (status, b'"run":"unknown"' in body) == (503, True)
 
 
-async def test_request_that_crashes_upstreams_is_stopped_after_two():
+async def test_request_that_crashes_two_upstreams_is_rejected():
     """One request crashes each upstream that runs it, and is sent again."""
 
     async def crash_on_poison(writer, head, body):
-        await (crash if "poison" in head else answer_hello)(writer, head, body)
+        await (crash if "poison" in head else respond_hello)(writer, head, body)
 
-    async with Bench(ADDRESS, [crash_on_poison] * 3) as bench:
+    async with EntryHarness(ADDRESS, [crash_on_poison] * 3) as harness:
         for _ in range(3):
-            status, _, body = await fetch(bench, "/s/status/poison")
+            status, _, body = await fetch(harness, "/s/status/poison")
             assert (status, b'"code":2007' in body) == (422, True)
-        assert [len(u.heads) for u in bench.upstreams] == [1, 1, 0]
-        assert (await fetch(bench, "/s/status/other"))[0] == 200
+        assert [len(u.heads) for u in harness.upstreams] == [1, 1, 0]
+        assert (await fetch(harness, "/s/status/other"))[0] == 200
 
 
-def serve_file(break_at=None, etag='"v1"', total=WHOLE):
+def serve_file(break_at=None, etag='"v1"', total=FULL_BODY):
     """Serve ``total`` with ranges, dying after ``break_at`` bytes of it."""
 
     async def serve(writer, head, body):
-        wanted = get_header(head, "Range")
-        first = int(wanted.removeprefix("bytes=").rstrip("-")) if wanted else 0
+        range_header = get_header(head, "Range")
+        first = (
+            int(range_header.removeprefix("bytes=").rstrip("-")) if range_header else 0
+        )
         lines = [f"ETag: {etag}"]
         if first:
             lines.append(f"Content-Range: bytes {first}-{len(total) - 1}/{len(total)}")
         status = "206 Partial Content" if first else "200 OK"
-        answer = make_answer(head, total[first:], *lines, status=status)
+        answer = make_raw_response(head, total[first:], *lines, status=status)
         if break_at is None:
             writer.write(answer)
             return
@@ -143,54 +145,54 @@
         ([serve_file(100_000), serve_file(200_000), serve_file()], True),
         ([serve_file(100_000, 'W/"v1"'), serve_file(None, 'W/"v1"')], False),
         ([serve_file(100_000), serve_file(None, '"v2"')], False),
-        ([serve_file(100_000), serve_file(None, '"v1"', WHOLE[:-1])], False),
-        ([serve_file(100_000), answer_hello], False),
+        ([serve_file(100_000), serve_file(None, '"v1"', FULL_BODY[:-1])], False),
+        ([serve_file(100_000), respond_hello], False),
         ([serve_file(100_000)], False),
     ],
 )
-async def test_broken_download_is_continued_or_visibly_cut(scripts, is_whole):
+async def test_interrupted_download_is_resumed_or_fails_visibly(scripts, is_whole):
     """A plan bundle breaks off after part of it has gone to the caller.
 
     Under the same strong validator another upstream gives the rest; in all
     other cases the caller must see that its bundle is not complete.
     """
-    async with Bench(ADDRESS, scripts) as bench:
+    async with EntryHarness(ADDRESS, scripts) as harness:
         if is_whole:
-            assert (await fetch(bench, "/s/passes/plan"))[2] == WHOLE
+            assert (await fetch(harness, "/s/passes/plan"))[2] == FULL_BODY
             return
         with pytest.raises(aiohttp.ClientPayloadError):
-            await fetch(bench, "/s/passes/plan")
+            await fetch(harness, "/s/passes/plan")
 
 
-async def test_second_answer_on_a_kept_connection_reaches_nobody():
+async def test_surplus_response_on_a_kept_connection_is_discarded():
     """An upstream sends an answer twice over a connection that is kept.
 
     The next request on it would be answered with the pass of another.
     """
 
-    async def answer_twice(writer, head, body):
-        answer = make_answer(head, head.split()[1].encode())
+    async def respond_twice(writer, head, body):
+        answer = make_raw_response(head, head.split()[1].encode())
         writer.write(answer)
         await writer.drain()
         await asyncio.sleep(0.02)
         writer.write(answer)
 
-    async def answer_path(writer, head, body):
-        writer.write(make_answer(head, head.split()[1].encode()))
+    async def respond_with_path(writer, head, body):
+        writer.write(make_raw_response(head, head.split()[1].encode()))
 
-    async with Bench(ADDRESS, [answer_twice, answer_path]) as bench:
+    async with EntryHarness(ADDRESS, [respond_twice, respond_with_path]) as harness:
         for number in range(6):
             path = f"/{number}"
-            status, _, body = await fetch(bench, f"/s/status{path}")
+            status, _, body = await fetch(harness, f"/s/status{path}")
             assert (status, body) == (200, path.encode())
             await asyncio.sleep(0.05)
 
 
 @contextlib.asynccontextmanager
-async def open_two_zones(scripts_a, scripts_b):
+async def start_two_zones(scripts_a, scripts_b):
     """Start an entry process in each of two zones that know each other."""
-    async with Bench(ADDRESS, scripts_a) as a:
-        async with Bench(OTHER_ADDRESS, scripts_b, vm="zb1") as b:
+    async with EntryHarness(ADDRESS, scripts_a) as a:
+        async with EntryHarness(OTHER_ADDRESS, scripts_b, vm="zb1") as b:
             rows = [
                 {
                     "vm": vm,
@@ -203,14 +205,14 @@
                     ("zb1", OTHER_ADDRESS, "zb"),
                 )
             ]
-            for bench in (a, b):
-                bench.zone.push("vms", "main", {"vms": rows})
-                await wait_until(bench.kernel.get("feed").view.get_vms)
+            for harness in (a, b):
+                harness.zone.push("vms", "main", {"vms": rows})
+                await wait_until(harness.kernel.get("feed").view.get_vms)
             yield a, b
 
 
 async def test_spill_is_served_by_the_other_zone():
-    async with open_two_zones([], [answer_hello]) as (a, b):
+    async with start_two_zones([], [respond_hello]) as (a, b):
         a.zone.answer = lambda asked: PassOn("zb", 3.0)
         assert (await fetch(a))[::2] == (200, b"hello")
         (asked,) = b.zone.asked
@@ -220,9 +222,9 @@
 
 
 @pytest.mark.parametrize("is_gone", [False, True])
-async def test_spill_that_was_not_run_is_asked_for_here_again(is_gone):
+async def test_spill_that_was_not_run_is_retried_locally(is_gone):
     """The other zone has filled up, or died, since the plan was made."""
-    async with open_two_zones([answer_hello], [answer_hello]) as (a, b):
+    async with start_two_zones([respond_hello], [respond_hello]) as (a, b):
         a.zone.answer = lambda asked: PassOn("zb", 3.0) if asked.may_pass_on else None
         b.zone.answer = lambda asked: Refused(2001, 1.0)
         if is_gone:
@@ -231,25 +233,25 @@
         assert [asked.may_pass_on for asked in a.zone.asked] == [True, False]
 
 
-async def test_crashing_request_is_stopped_in_the_other_zone_too():
+async def test_poison_request_is_rejected_in_the_other_zone_too():
     """A request crashes two upstreams and its caller tries the next zone.
 
     That zone would lose two of its own before it knew.
     """
-    async with open_two_zones([crash] * 3, [answer_hello]) as (a, b):
+    async with start_two_zones([crash] * 3, [respond_hello]) as (a, b):
         assert (await fetch(a, "/s/status/poison"))[0] == 422
-        noted = {"name": "poison_noted", "upstream": "u1"}
-        await wait_until(lambda: b.counters.get(**noted))
+        labels = {"name": "poison_noted", "upstream": "u1"}
+        await wait_until(lambda: b.counters.get(**labels))
         assert (await fetch(b, "/s/status/poison"))[0] == 422
         assert not b.upstreams[0].heads
 
 
-async def test_spill_keeps_to_the_limit_of_its_link():
+async def test_spill_respects_the_link_limit():
     """More is to be passed on than the link between the zones may carry.
 
     What is over the limit is served here, so that the link stays usable.
     """
-    async with open_two_zones([answer_hello], [answer_hello]) as (a, b):
+    async with start_two_zones([respond_hello], [respond_hello]) as (a, b):
         config = make_config([], other=("zb",))
         config["links"][0]["requests_per_s"] = 0.001
         a.zone.push("config", "main", config)
@@ -260,16 +262,16 @@
             assert (await fetch(a))[::2] == (200, b"hello")
         assert [asked.may_pass_on for asked in a.zone.asked][1:] == [True, False] * 2
         assert len(b.zone.asked) == 1
-        counted = a.counters.get(
+        count = a.counters.get(
             "requests_retried", reason="LINK_LIMIT", service="status"
         )
-        assert counted == 2
+        assert count == 2
 
 
 async def test_forged_spill_is_refused():
     """A caller marks its own request as spill to get around the tickets."""
-    async with Bench(ADDRESS, [answer_hello]) as bench:
+    async with EntryHarness(ADDRESS, [respond_hello]) as harness:
         headers = {"Godwit-Hop": "1", "Godwit-Signature": KEY.hex()}
-        status, _, body = await fetch(bench, "/s/pay/x", "POST", headers=headers)
+        status, _, body = await fetch(harness, "/s/pay/x", "POST", headers=headers)
         assert (status, b"forged" in body) == (400, True)
-        assert not bench.zone.asked
+        assert not harness.zone.asked
--- a/godwitlanding/tests/daemons/test_trace.py
+++ b/godwitlanding/tests/daemons/test_trace.py
@@ -3,7 +3,11 @@
 import aiohttp
 
 from godwitlanding.daemons.trace import MAX_EVENTS_PER_REQUEST, Trace
-from godwitlanding.tests.daemons.support_entry import ADDRESS, Bench, answer_hello
+from godwitlanding.tests.daemons.support_entry import (
+    ADDRESS,
+    EntryHarness,
+    respond_hello,
+)
 
 
 def test_oldest_requests_are_forgotten():
@@ -21,16 +25,19 @@
 
 
 async def test_carried_and_refused_requests_are_explained():
-    async with Bench(ADDRESS, [answer_hello]) as bench, aiohttp.ClientSession() as http:
+    async with (
+        EntryHarness(ADDRESS, [respond_hello]) as harness,
+        aiohttp.ClientSession() as http,
+    ):
         for path, wanted in (
             ("/s/status/x", ["arrived", "granted", "answered"]),
             ("/s/nothing/x", ["refused"]),
         ):
-            async with http.get(bench.url + path) as answer:
+            async with http.get(harness.url + path) as answer:
                 await answer.read()
             request_id = answer.headers["Godwit-Request-Id"]
-            async with http.get(f"{bench.url}/-/requests/{request_id}") as answer:
+            async with http.get(f"{harness.url}/-/requests/{request_id}") as answer:
                 events = (await answer.json())["events"]
             assert [event["event"] for event in events] == wanted
-        async with http.get(f"{bench.url}/-/requests/none") as answer:
+        async with http.get(f"{harness.url}/-/requests/none") as answer:
             assert answer.status == 404
--- a/godwitlanding/tests/daemons/test_zone.py
+++ b/godwitlanding/tests/daemons/test_zone.py
@@ -7,7 +7,7 @@
 import pytest
 
 from godwitlanding.base.messages import Acquire, Granted, Signal
-from godwitlanding.tests.daemons.memory_wire import Daemon, MemoryZone
+from godwitlanding.tests.daemons.memory_network import Daemon, MemoryZone
 
 pytestmark = pytest.mark.looptime
 
@@ -257,7 +257,7 @@
         for channel in daemon.listener.channels:
             channel.close()
         await asyncio.sleep(5)
-        for desk in daemon.get("arbitration").desk_by_service.values():
+        for desk in daemon.get("arbitration").permit_server_by_service.values():
             assert desk.borrower.make_loan("vm9", 0.0).holders == ()
 
 
--- a/godwitlanding/zone.py
+++ b/godwitlanding/zone.py
@@ -13,7 +13,6 @@
 from godwitlanding.daemons.services.arbitration import Arbitration
 from godwitlanding.daemons.services.borrowing import Borrowing
 from godwitlanding.daemons.services.configuration import Configuration
-from godwitlanding.daemons.services.departure import Departure
 from godwitlanding.daemons.services.lending import Lending
 from godwitlanding.daemons.services.links import Listener, Peers
 from godwitlanding.daemons.services.members import Members
@@ -22,6 +21,7 @@
 from godwitlanding.daemons.services.probes import Probes
 from godwitlanding.daemons.services.replication import Replication
 from godwitlanding.daemons.services.summary import Summary
+from godwitlanding.daemons.services.zoneshutdown import ZoneShutdown
 
 DESCRIPTION = "Control of an availability zone: members, permits, the plan."
 
@@ -33,7 +33,7 @@
         timeout_s = settings["platform_timeout_s"]
         store = HttpStore(settings["platform_url"], timeout_s, context.counters)
     replication = Replication(context)
-    departure = Departure(context)
+    departure = ZoneShutdown(context)
     routes = make_status_routes(
         departure.get_kernel,
         context.counters,
