--- a/godwitlanding/daemons/services/__init__.py
+++ b/godwitlanding/daemons/services/__init__.py
@@ -1,1 +1,1 @@
-"""Services that the daemons start, found by name."""
+"""The services that the daemons run, looked up by name in the kernel."""
--- a/godwitlanding/daemons/services/arbitration.py
+++ b/godwitlanding/daemons/services/arbitration.py
@@ -1,4 +1,4 @@
-"""Answers requests for permits for the services this VM is arbiter of."""
+"""Serves permit requests for the services whose arbiter this VM is."""
 
 import asyncio
 import secrets
@@ -24,13 +24,14 @@
 from godwitlanding.decisions.poison import PoisonLedger
 from godwitlanding.decisions.spill import LinkLimiter
 
-# A crash is told to the zone's members and to this many VMs elsewhere.
+# A crash report goes to the members of the zone and to at most this many VMs
+# of other zones.
 MAX_REMOTE_RECIPIENTS = 64
 _FIRST_PERMIT_ID_BITS = 31
 
 
 class Arbitration(Service):
-    """Runs a ``Desk`` for each service and keeps its loans."""
+    """Runs the permit server of each service and renews its loans."""
 
     name = "arbitration"
     needs = ("peers", "members", "configuration", "borrowing")
@@ -46,7 +47,7 @@
         self._stopping = False
 
     async def start(self, kernel):
-        """Begin to renew loans."""
+        """Register the message handlers and start renewing loans."""
         self._members = kernel.get("members")
         self._configuration = kernel.get("configuration")
         self._borrowing = kernel.get("borrowing")
@@ -61,52 +62,57 @@
         self._tasks.repeat(self._context.settings["heartbeat_s"], self._renew_loans)
 
     async def stop(self):
-        """End the renewals and answer everyone that waits."""
-        for desk in self.permit_server_by_service.values():
-            desk.close(Failure(Code.STOPPING.value))
+        """Stop renewing and fail all waiting requests."""
+        for permit_server in self.permit_server_by_service.values():
+            permit_server.close(Failure(Code.STOPPING.value))
         if self._timer:
             self._timer.cancel()
         await self._tasks.stop()
 
     async def hand_over(self):
-        """Be the arbiter of nothing more, and say so to the owners."""
+        """Close all permit servers and return their loans to the owners."""
         self._stopping = True
         self._update_permit_servers()
         await asyncio.sleep(0)
 
     def refresh_usable(self, service):
-        """Apply health and drains to the arbiter of a service."""
-        desk = self.permit_server_by_service.get(service)
+        """Update the usable upstreams of a service from health and drains."""
+        permit_server = self.permit_server_by_service.get(service)
         health = self.health_by_service.get(service)
         config = self._configuration.config
-        if not desk or not health or not config:
+        if not permit_server or not health or not config:
             return
         now = self._now()
         self._apply_drains(config, service, health, now)
         for upstream, verdict in health.get_verdicts(now).items():
-            desk.answer_decisions(
-                desk.arbiter.set_usable(upstream, verdict.usable, now), now
+            permit_server.answer_decisions(
+                permit_server.arbiter.set_usable(upstream, verdict.usable, now), now
             )
         self._schedule_tick()
 
     def note_cold(self, service, upstream):
-        """An upstream has started again: give it work slowly."""
-        desk = self.permit_server_by_service[service]
+        """Record that an upstream has restarted, so its load grows slowly."""
+        permit_server = self.permit_server_by_service[service]
         now = self._now()
-        desk.answer_decisions(desk.arbiter.note_cold(upstream, now), now)
+        permit_server.answer_decisions(
+            permit_server.arbiter.note_cold(upstream, now), now
+        )
 
     def get_status(self):
-        """Return the desks, with why upstreams are out."""
+        """Return the status and the unusable upstreams of each service."""
         now = self._now()
         status_by_service = {}
-        for service, desk in sorted(self.permit_server_by_service.items()):
+        for service, permit_server in sorted(self.permit_server_by_service.items()):
             health = self.health_by_service[service]
-            out = {
+            why_by_upstream = {
                 upstream: verdict.why
                 for upstream, verdict in health.get_verdicts(now).items()
                 if not verdict.usable
             }
-            status_by_service[service] = {**desk.get_status(now), "out": out}
+            status_by_service[service] = {
+                **permit_server.get_status(now),
+                "out": why_by_upstream,
+            }
         return {"arbiter": self._context.incarnation, "services": status_by_service}
 
     def _now(self):
@@ -122,18 +128,18 @@
             return
         for name, service in config.service_by_name.items():
             is_arbiter = self._is_arbiter_of(name) and not self._stopping
-            desk = self.permit_server_by_service.get(name)
-            if is_arbiter and (desk is None or not desk.active):
+            permit_server = self.permit_server_by_service.get(name)
+            if is_arbiter and (permit_server is None or not permit_server.active):
                 self._open_permit_server(service)
-            elif desk and desk.active and not is_arbiter:
-                self._close_permit_server(desk)
+            elif permit_server and permit_server.active and not is_arbiter:
+                self._close_permit_server(permit_server)
         for name in set(self.permit_server_by_service) - set(config.service_by_name):
             if self.permit_server_by_service[name].active:
                 self._close_permit_server(self.permit_server_by_service[name])
 
     def _open_permit_server(self, service):
-        desk = self.permit_server_by_service.get(service.name)
-        if desk is None:
+        permit_server = self.permit_server_by_service.get(service.name)
+        if permit_server is None:
             first_permit_id = (
                 secrets.randbits(_FIRST_PERMIT_ID_BITS) + 1 << PERMIT_ID_BITS
             )
@@ -144,36 +150,43 @@
                 service.slow_start_s,
                 self._poison,
             )
-            desk = PermitServer(self._context.incarnation, arbiter, first_permit_id)
-            self.permit_server_by_service[service.name] = desk
+            permit_server = PermitServer(
+                self._context.incarnation, arbiter, first_permit_id
+            )
+            self.permit_server_by_service[service.name] = permit_server
             self.health_by_service[service.name] = UpstreamHealth()
-        desk.active = True
-        self._apply_config(desk, service)
+        permit_server.active = True
+        self._apply_config(permit_server, service)
         self._context.counters.add("arbiter_opened", service=service.name)
-        self._tasks.run(self._renew_permit_server_loans(desk))
+        self._tasks.run(self._renew_permit_server_loans(permit_server))
 
-    def _close_permit_server(self, desk):
+    def _close_permit_server(self, permit_server):
         now = self._now()
-        desk.close(Failure(Code.NO_ARBITER.value))
-        self._borrowing.give_back(desk)
-        desk.tick(now)
-        self._context.counters.add("arbiter_closed", service=desk.service)
+        permit_server.close(Failure(Code.NO_ARBITER.value))
+        self._borrowing.give_back(permit_server)
+        permit_server.tick(now)
+        self._context.counters.add("arbiter_closed", service=permit_server.service)
 
-    def _apply_config(self, desk, service):
+    def _apply_config(self, permit_server, service):
         upstreams = service.get_upstreams(self._context.availability_zone)
-        desk.set_addresses({u.id: u.address for u in upstreams})
+        permit_server.set_addresses({u.id: u.address for u in upstreams})
         self.health_by_service[service.name].set_upstreams([u.id for u in upstreams])
         allowances = self._configuration.plan.get_allowances(
             service.name, self._context.availability_zone
         )
         now = self._now()
         for zone, limiter in self._get_link_limiters().items():
-            desk.arbiter.spill.set_link_limiter(zone, limiter)
-        desk.answer_decisions(desk.arbiter.set_allowances(allowances, now), now)
+            permit_server.arbiter.spill.set_link_limiter(zone, limiter)
+        permit_server.answer_decisions(
+            permit_server.arbiter.set_allowances(allowances, now), now
+        )
         self.refresh_usable(service.name)
 
     def _get_link_limiters(self):
-        """Return a meter a link; the services of a zone share it."""
+        """Return the limiter of each outgoing link by target zone.
+
+        All services of this zone share the limiter of a link.
+        """
         own = self._context.availability_zone
         for (source, target), link in self._configuration.config.link_by_zones.items():
             if source != own:
@@ -199,32 +212,32 @@
             return
         self._update_permit_servers()
         for name, service in config.service_by_name.items():
-            desk = self.permit_server_by_service.get(name)
-            if desk and desk.active:
-                self._apply_config(desk, service)
-                self._tasks.run(self._renew_permit_server_loans(desk))
+            permit_server = self.permit_server_by_service.get(name)
+            if permit_server and permit_server.active:
+                self._apply_config(permit_server, service)
+                self._tasks.run(self._renew_permit_server_loans(permit_server))
 
-    async def _renew_permit_server_loans(self, desk):
-        await self._borrowing.renew(desk)
+    async def _renew_permit_server_loans(self, permit_server):
+        await self._borrowing.renew(permit_server)
         self._schedule_tick()
 
     async def _handle_acquire(self, channel, message):
         config = self._configuration.config
         if config is None or message.service not in config.service_by_name:
             return Failure(Code.UNKNOWN_SERVICE.value)
-        desk = self.permit_server_by_service.get(message.service)
-        if desk is None or not desk.active:
+        permit_server = self.permit_server_by_service.get(message.service)
+        if permit_server is None or not permit_server.active:
             return Failure(Code.NO_ARBITER.value)
         if channel.peer.availability_zone != self._context.availability_zone:
             self._context.counters.add("acquires_refused", reason="other_zone")
             return Failure(Code.UNEXPECTED_MESSAGE.value)
         holder = Holder(channel.peer.vm, channel.peer.incarnation)
-        await self._borrowing.register_holder(desk, holder, channel)
-        if not desk.active:
+        await self._borrowing.register_holder(permit_server, holder, channel)
+        if not permit_server.active:
             return Failure(Code.NO_ARBITER.value)
-        return await self._wait_for_decision(desk, holder, message, config)
+        return await self._wait_for_decision(permit_server, holder, message, config)
 
-    async def _wait_for_decision(self, desk, holder, message, config):
+    async def _wait_for_decision(self, permit_server, holder, message, config):
         key = f"{holder.incarnation} {message.request_id}"
         future = asyncio.get_running_loop().create_future()
 
@@ -233,31 +246,32 @@
                 future.set_result(decision)
 
         deadline_s = config.service_by_name[message.service].deadline_s
-        desk.acquire(key, holder, message, deadline_s, answer, self._now())
+        permit_server.acquire(key, holder, message, deadline_s, answer, self._now())
         self._schedule_tick()
         try:
             return await future
         except asyncio.CancelledError:
-            desk.withdraw(key, self._now())
+            permit_server.withdraw(key, self._now())
             raise
 
     async def _handle_release(self, channel, message):
         now = self._now()
-        for desk in self.permit_server_by_service.values():
+        for permit_server in self.permit_server_by_service.values():
             config = self._configuration.config
-            service = config.service_by_name.get(desk.service)
+            service = config.service_by_name.get(permit_server.service)
             if service and message.upstream in service.upstream_by_id:
-                desk.release(message, now)
-                self._record_outcome(desk.service, message, now)
+                permit_server.release(message, now)
+                self._record_outcome(permit_server.service, message, now)
         if message.outcome == OUTCOME_CRASHED and message.fingerprint:
             self._send_poison(Poison(message.fingerprint, message.upstream, 1))
         self._schedule_tick()
 
     def _send_poison(self, poison):
-        """Warn the arbiters after this one, and those of other zones.
+        """Report a crash to the members of this zone and to other zones.
 
-        The caller sends a request again that crashed its upstream, here or
-        where it tries next; each arbiter alone would lose two upstreams.
+        The caller retries a request that crashed its upstream, here or in
+        another zone. Without the report, each arbiter would lose two
+        upstreams before it stops the request.
         """
         addresses = set(self._members.get_peer_addresses().values())
         addresses |= set(
@@ -283,10 +297,10 @@
             health.note_success(message.upstream, now)
 
     async def _handle_withdraw(self, channel, message):
-        desk = self.permit_server_by_service.get(message.service)
-        if desk:
+        permit_server = self.permit_server_by_service.get(message.service)
+        if permit_server:
             key = f"{channel.peer.incarnation} {message.request_id}"
-            desk.withdraw(key, self._now())
+            permit_server.withdraw(key, self._now())
             self._schedule_tick()
 
     async def _handle_signal(self, channel, message):
@@ -295,11 +309,11 @@
             self.refresh_usable(service)
 
     def _schedule_tick(self):
-        """Wake up when the next arbiter has something to decide."""
+        """Set a timer for the earliest time that an arbiter has to act."""
         times = [
             time
-            for desk in self.permit_server_by_service.values()
-            for time in [desk.arbiter.get_next_time()]
+            for permit_server in self.permit_server_by_service.values()
+            for time in [permit_server.arbiter.get_next_time()]
             if time is not None
         ]
         if self._timer:
@@ -311,6 +325,6 @@
 
     def _tick(self):
         now = self._now()
-        for desk in self.permit_server_by_service.values():
-            desk.tick(now)
+        for permit_server in self.permit_server_by_service.values():
+            permit_server.tick(now)
         self._schedule_tick()
--- a/godwitlanding/daemons/services/callerlocator.py
+++ b/godwitlanding/daemons/services/callerlocator.py
@@ -1,4 +1,7 @@
-"""The caller blocks of a process: from the replica's objects to a table."""
+"""Maps the address of a caller to its availability zone.
+
+The address blocks come from the replica and are decoded into one table.
+"""
 
 from eliot import log_message
 
@@ -8,10 +11,10 @@
 
 
 class CallerLocator(Service):
-    """Tells the zone of a caller by the block of its address.
+    """Finds the zone of a caller by the address block that contains it.
 
-    Without any blocks in the platform it knows no caller, and each is
-    taken by the hash of its name.
+    Without blocks in the platform every caller is unlisted, and its zone is
+    chosen by a hash of its name.
     """
 
     name = "callers"
@@ -22,13 +25,13 @@
         self._loader = BlockLoader()
 
     async def start(self, kernel):
-        """Read the blocks held and follow their changes."""
+        """Load the blocks of the replica and listen for changes."""
         for state in self._context.replica.get_kind(BLOCKS_KIND):
             self._apply_state(state)
         self._context.replica.listen(self._apply_state)
 
     def get_status(self):
-        """Return the size of the table and the last delta in it."""
+        """Return the size of the table and the last delta applied."""
         table = self._loader.table
         return {
             "blocks": 0 if table is None else len(table),
@@ -38,23 +41,23 @@
         }
 
     def is_ready(self):
-        """Tell whether no first table is still being loaded.
+        """Return ``False`` while the first table is being loaded.
 
-        With part of a table callers would be taken for unlisted ones and
+        With a partial table, listed callers would count as unlisted and be
         sent to zones that they leave again a second later.
         """
         return not self._loader.is_loading
 
     def find_zone(self, caller):
-        """Return the zone of a listed caller, ``""`` for any other."""
+        """Return the zone of a listed caller, or ``""`` for any other."""
         table = self._loader.table
-        # No truth value of the table: that would count all its blocks.
+        # Compared with None, since the truth value would count all blocks.
         address = None if table is None else parse_address(caller)
         if address is None:
             return ""
         group = table.find(address)
         sites = self._loader.sites
-        # A delta may name a site before the marker that lists it is here.
+        # A delta may refer to a site before the marker that lists it arrives.
         if not 0 < group <= len(sites):
             return ""
         return sites[group - 1].availability_zone
@@ -74,6 +77,6 @@
                 version=state.version,
                 error=str(error),
             )
-        # The decoded table stays; a second copy of 26 million bytes of text
-        # beside it would take the process over its memory.
+        # Only the decoded table is kept: the 26 million bytes of text beside
+        # it would exceed the memory limit of the process.
         self._context.replica.drop_body(state)
--- a/godwitlanding/daemons/services/claims.py
+++ b/godwitlanding/daemons/services/claims.py
@@ -1,4 +1,8 @@
-"""Non-idempotent work: finds the one process that may run a ticket."""
+"""Runs non-idempotent requests at most once, in the home of their ticket.
+
+The home is the entry process that a ticket is bound to. If it is gone, the
+process that closes its journal becomes the home.
+"""
 
 from godwitlanding.base.codes import RUN_UNKNOWN, Code, make_refusal
 from godwitlanding.base.kernel import Service
@@ -13,15 +17,16 @@
 from godwitlanding.daemons.services.upstreams import CONNECTION_REFUSED
 from godwitlanding.daemons.ticket import JOURNALED, is_ticket, read_ticket
 
-# Homes in a row that were replaced while one ticket was pressed.
+# Maximum number of successive replacements of a home that are followed.
 MAX_REPLACED_HOMES = 8
-# From the VM that the caller chose to the home, and to its replacement.
+# Maximum number of forwards: from the VM that received the request to the
+# home, and from there to its replacement.
 MAX_FORWARD_DEPTH = 3
 RETRY_S = 1.0
 
 
 class ClaimService(Service):
-    """Runs work that carries a key at most once."""
+    """Runs a request with a ticket or another key at most once."""
 
     name = "claims"
     needs = ("feed", "passer", "journal", "once", "keys")
@@ -31,7 +36,7 @@
         self._counters = context.counters
 
     async def start(self, kernel):
-        """Find the services that it uses."""
+        """Look up the services that are used."""
         self._view = kernel.get("feed").view
         self._passer = kernel.get("passer")
         self._journal = kernel.get("journal")
@@ -39,7 +44,7 @@
         self._keys = kernel.get("keys")
 
     async def run(self, request, sink):
-        """Run or answer a press; return the ``Refusal`` to give, if any."""
+        """Run a request or replay its response; return any ``Refusal``."""
         if not request.key:
             return make_refusal(Code.MISSING_TICKET)
         if not request.is_repeatable:
@@ -59,25 +64,25 @@
         return await self._find_home(request, sink, ticket)
 
     async def _find_home(self, request, sink, ticket):
-        """Follow the homes of a ticket to the one that may run it."""
+        """Run a ticket in its current home, following replaced homes."""
         home = Closer(ticket.home_vm, ticket.home_incarnation)
-        former = []
+        closed_journals = []
         for _ in range(MAX_REPLACED_HOMES):
             if self._is_open_locally(home, ticket):
-                return await self._run_locally(request, sink, ticket, former)
+                return await self._run_locally(request, sink, ticket, closed_journals)
             closed = self._journal.get_closed(home.incarnation)
             if closed is None:
                 finished = await self._forward_to_home(request, sink, home)
                 if finished:
                     return finished.refusal
                 if ticket.kind != JOURNALED:
-                    # Only the memory of its home knew, and it is gone.
+                    # Only the memory of the ended home held the outcome.
                     return make_refusal(Code.OUTCOME_UNKNOWN)
                 closing = await self._journal.close(home.incarnation)
                 if closing.is_err():
                     return make_refusal(Code.HOME_UNREACHABLE, RETRY_S)
                 closed = closing.unwrap()
-            former.append(closed)
+            closed_journals.append(closed)
             home = closed.closed_by
         return make_refusal(Code.HOME_UNREACHABLE, RETRY_S)
 
@@ -89,9 +94,9 @@
             not journal.closed_by or ticket.kind != JOURNALED or journal.holds(ticket)
         )
 
-    async def _run_locally(self, request, sink, ticket, former):
+    async def _run_locally(self, request, sink, ticket, closed_journals):
         fingerprint = compute_body_fingerprint(request)
-        submitted = self._journal.press(ticket, fingerprint, former)
+        submitted = self._journal.press(ticket, fingerprint, closed_journals)
         if submitted.is_err():
             return submitted.unwrap_err()
         claim = submitted.unwrap()
@@ -101,11 +106,11 @@
         return await self._once.run(request, sink, _JournalRecord(self._journal, claim))
 
     async def _forward_to_home(self, request, sink, home):
-        """Hand the press to ``home``; ``None`` where it is certainly gone.
+        """Forward the request to ``home``; ``None`` if it is certainly gone.
 
-        Taking over from a home that only seems gone is safe, since closing
-        its journal fences it; but it would have to turn away its tickets
-        from then on, so a home that is merely slow is left alone.
+        Replacing a home that only seems gone is safe, since closing its
+        journal fences it. But it would have to reject its tickets from then
+        on, so a home that is merely slow is not replaced.
         """
         if home.vm == self._context.vm:
             return None
@@ -126,7 +131,7 @@
         is_unreached = attempt.code is Code.PEER_UNREACHABLE
         if is_unreached and self._is_gone(home, attempt.detail):
             return None
-        # An earlier press may have run there, whatever became of this one.
+        # An earlier submission may have run there, even if this one did not.
         return Finished(make_refusal(Code.HOME_UNREACHABLE, RETRY_S, attempt.detail))
 
     def _find_row(self, vm):
@@ -145,7 +150,7 @@
 
 
 class _JournalRecord:
-    """A claim in the journal, as ``once`` sees it."""
+    """Adapts a claim in the journal to the ``Record`` of ``once``."""
 
     def __init__(self, writer, claim):
         self._writer = writer
--- a/godwitlanding/daemons/services/configuration.py
+++ b/godwitlanding/daemons/services/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration and the plan, parsed once for a process."""
+"""Parses the configuration and the plan once for all services."""
 
 from godwitlanding.base.config import CONFIG_KIND, parse_config
 from godwitlanding.base.kernel import Service
@@ -7,7 +7,7 @@
 
 
 class Configuration(Service):
-    """Holds the typed form of the newest configuration and plan."""
+    """Holds the latest valid configuration and plan."""
 
     name = "configuration"
 
@@ -19,7 +19,11 @@
         self._context = context
 
     async def start(self, kernel):
-        """Follow the replica; listeners that come later see the new form."""
+        """Listen to the replica.
+
+        Listeners that are added later are called after this one, and so see
+        the parsed objects.
+        """
         self._context.replica.listen(self._apply_state)
 
     def get_status(self):
@@ -39,8 +43,8 @@
 
     def _apply_config(self, state):
         parsed = parse_config(state.body.decode(errors="replace"))
-        # Somebody wrote past the checks of godwitctl: the last good text
-        # stays in force, and the error log and the counter show it.
+        # The text was written without the checks of godwitctl. The last valid
+        # configuration stays in force; the log and the counter report it.
         if parsed.is_err():
             self._context.counters.add("config_refused")
             problems = [str(problem) for problem in parsed.unwrap_err()[:5]]
--- a/godwitlanding/daemons/services/entryshutdown.py
+++ b/godwitlanding/daemons/services/entryshutdown.py
@@ -1,4 +1,4 @@
-"""How an entry process leaves: named to nobody first, ended last."""
+"""Shuts an entry process down without interrupting requests."""
 
 import asyncio
 
@@ -9,17 +9,17 @@
 from godwitlanding.base.messages import Heartbeat
 
 REPORT_INTERVAL_S = 5.0
-# The stop ends itself before whoever asked for it loses patience.
+# The stop ends this long before ``stop_limit_s``, so that whoever requested it
+# is still waiting.
 STOP_MARGIN_S = 0.5
 
 
 class EntryShutdown(Service):
-    """Serves on until no caller can be sent here, then ends what it has.
+    """Keeps serving until no caller is sent here, then completes requests.
 
-    Callers may use an answer of ``steer`` for its max-age, and a ``steer``
-    of another zone learns from a summary that this VM leaves. An entry
-    process that closed its port earlier would turn away callers who did as
-    they were told.
+    Callers may use a ``steer`` response for its max-age, and ``steer`` in
+    other zones learns from a summary that this VM leaves. If the port closed
+    earlier, callers that follow a valid response would be refused.
     """
 
     name = "linger"
@@ -34,13 +34,13 @@
         self._drain_s = min(settings["steer_max_age_s"] + propagation_s, self._limit_s)
 
     async def start(self, kernel):
-        """Find the services that serve on."""
+        """Look up the services that are stopped."""
         self._server = kernel.get("server")
         self._requests = kernel.get("requests")
         self._feed = kernel.get("feed")
 
     async def stop(self):
-        """Leave within ``stop_limit_s``, and log what it waits for."""
+        """Drain and stop within ``stop_limit_s``; log pending requests."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         self._requests.begin_leaving()
@@ -49,8 +49,8 @@
         await self._sleep(self._drain_s)
         report = asyncio.ensure_future(self._report())
         server_stop = asyncio.ensure_future(self._server.stop())
-        left_s = self._limit_s - self._drain_s - STOP_MARGIN_S
-        await asyncio.wait((server_stop,), timeout=max(STOP_MARGIN_S, left_s))
+        remaining_s = self._limit_s - self._drain_s - STOP_MARGIN_S
+        await asyncio.wait((server_stop,), timeout=max(STOP_MARGIN_S, remaining_s))
         report.cancel()
         if not server_stop.done():
             log_warning("linger:limit_reached", cut=self._requests.get_status())
@@ -59,7 +59,7 @@
         log_message("linger:ended", after_s=round(loop.time() - started_at, 3))
 
     async def _announce(self):
-        """Tell the zone daemon of this VM to name it to callers no more."""
+        """Tell the zone daemon of this VM that the entry process leaves."""
         context = self._context
         message = Heartbeat(
             context.vm,
--- a/godwitlanding/daemons/services/feed.py
+++ b/godwitlanding/daemons/services/feed.py
@@ -1,8 +1,8 @@
-"""Feeds the replica of a process from a zone daemon of its zone.
+"""Keeps the replica of a process up to date from a zone daemon.
 
-``entry`` and ``steer`` do not talk to the platform for configuration: they
-subscribe at the zone daemon of their own VM, or at another member's while
-that one is away, and are pushed each change.
+``entry`` and ``steer`` do not read the configuration from the platform. They
+subscribe to the zone daemon of their own VM, or of another member while that
+one is unreachable, and receive each change.
 
 >>> feed = Feed(context, ("config", "plan", "vms", "members"))
 >>> feed.view.get_config().service_by_name
@@ -21,16 +21,16 @@
 from godwitlanding.daemons.view import MEMBERS_KIND, View
 
 RETRY_S = 0.2
-# Any other answer, even a refusal, shows that the daemon is awake.
+# Any other response, even a refusal, shows that the daemon is running.
 _NO_RESPONSE_CODES = (Code.CALL_TIMEOUT, Code.PEER_UNREACHABLE)
 
 
 class Feed(Service):
-    """Keeps ``context.replica`` up to date and a pool of connections.
+    """Subscribes to a zone daemon and applies its updates to the replica.
 
-    ``kinds`` are the kinds to subscribe to. ``handler_by_type`` may add
-    handlers for messages that a zone daemon sends on the same connection.
-    Other services share ``pool`` for their own calls.
+    ``kinds`` are the object kinds to subscribe to. ``handler_by_type`` may
+    add handlers for messages that a zone daemon sends on the same connection.
+    Other services share the connection pool ``pool`` for their own calls.
     """
 
     name = "feed"
@@ -45,7 +45,7 @@
         self._task = None
 
     async def start(self, kernel):
-        """Begin to follow a zone daemon; does not wait for one."""
+        """Start following a zone daemon, without waiting for a connection."""
         self._task = asyncio.ensure_future(self._run())
 
     async def stop(self):
@@ -55,7 +55,7 @@
         await self.pool.stop()
 
     def is_ready(self):
-        """Tell whether there is a configuration and a view of the zone."""
+        """Return whether the configuration and the members are known."""
         return self.view.get_config() is not None and bool(self.view.get_members())
 
     def get_own_address(self):
@@ -64,7 +64,7 @@
         return f"{settings['address']}:{settings['zone_port']}"
 
     def get_status(self):
-        """Return the zone daemon followed and the versions held."""
+        """Return the address of the zone daemon and the object versions."""
         versions = {
             f"{kind}/{name}": state.version
             for (kind, name), state in self._context.replica.state_by_key.items()
@@ -80,12 +80,12 @@
         members = self.view.get_members()
         others = [f"{member.address}:{port}" for member in members if member.alive]
         zone = self._context.availability_zone
-        listed = [
+        zone_vms = [
             f"{row.address}:{port}"
             for row in self.view.get_vms()
             if row.availability_zone == zone
         ]
-        return list(dict.fromkeys([own, *others, *listed]))
+        return list(dict.fromkeys([own, *others, *zone_vms]))
 
     async def _run(self):
         while True:
@@ -98,8 +98,8 @@
     async def _subscribe(self, address):
         timeout_s = self._context.settings["member_timeout_s"]
         message = Subscribe(self._kinds)
-        answer = await self.pool.call(address, message, timeout_s)
-        if answer.is_err():
+        response = await self.pool.call(address, message, timeout_s)
+        if response.is_err():
             return False
         self.source = address
         log_message("feed:following", address=address)
@@ -107,11 +107,11 @@
         return True
 
     async def _follow(self, address):
-        """Return when the daemon at ``address`` no longer answers.
+        """Return when the daemon at ``address`` no longer responds.
 
-        A paused daemon keeps its connection open and pushes nothing, so
-        this process would go on with old data; asking it for something
-        small now and then shows it.
+        A paused daemon keeps its connection open but sends no updates, so
+        this process would keep stale data. A small request at regular
+        intervals detects this.
         """
         timeout_s = self._context.settings["member_timeout_s"]
         own = self.get_own_address()
@@ -125,8 +125,8 @@
                 await asyncio.wait_for(channel.closed.wait(), timeout_s)
             if channel.closed.is_set():
                 break
-            answer = await channel.call(probe, timeout_s)
-            if answer.is_err() and answer.unwrap_err().code in _NO_RESPONSE_CODES:
+            response = await channel.call(probe, timeout_s)
+            if response.is_err() and response.unwrap_err().code in _NO_RESPONSE_CODES:
                 break
             if address != own and await self._subscribe(own):
                 self.pool.drop(address)
--- a/godwitlanding/daemons/services/holder.py
+++ b/godwitlanding/daemons/services/holder.py
@@ -1,4 +1,4 @@
-"""The entry daemon's server for our own processes."""
+"""Serves messages of zone daemons and entry processes to an entry process."""
 
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.messages import Holdings, Poison
@@ -6,7 +6,7 @@
 
 
 class HolderServer(Service):
-    """Answers an arbiter's ``Holdings`` and takes ``Poison`` notices."""
+    """Responds to ``Holdings`` of arbiters and records ``Poison`` reports."""
 
     name = "holder"
     needs = ("permits", "carrier")
@@ -16,7 +16,7 @@
         self._server = None
 
     async def start(self, kernel):
-        """Listen on the entry daemon's port for our own processes."""
+        """Listen on the internal port of the entry process."""
         self._permits = kernel.get("permits")
         self._executor = kernel.get("carrier")
         handlers = {Holdings: self._handle_holdings, Poison: self._handle_poison}
--- a/godwitlanding/daemons/services/idempotencykeys.py
+++ b/godwitlanding/daemons/services/idempotencykeys.py
@@ -1,7 +1,7 @@
-"""Non-idempotent work under keys that callers made up themselves.
+"""Runs non-idempotent requests at most once under caller-chosen keys.
 
-One conditional create for each request, where a ticket's claim shares its
-write with others; so tickets are the way for callers that can use them.
+Each request costs one conditional create in the platform, while the claims of
+tickets share writes. Callers should therefore use tickets if they can.
 """
 
 import asyncio
@@ -29,12 +29,12 @@
 RETRY_S = 0.1
 MAX_WRITE_ATTEMPTS = 5
 CLEANUP_INTERVAL_S = 5.0
-# Deletes are writes like any other, and nobody waits for these.
+# Deletes count as writes and nothing waits for them, so few are made at once.
 CLEANUP_BATCH_SIZE = 10
 
 
 class IdempotencyKeyService(Service):
-    """Claims callers' keys in the platform and keeps their outcomes."""
+    """Claims the keys of callers in the platform and stores their outcomes."""
 
     name = "keys"
     needs = ("feed", "once")
@@ -47,13 +47,13 @@
         self._tasks = Tasks()
 
     async def start(self, kernel):
-        """Begin to delete what is no longer kept."""
+        """Start deleting expired claims."""
         self._once = kernel.get("once")
         self._view = kernel.get("feed").view
         self._tasks.repeat(CLEANUP_INTERVAL_S, self._clean_up)
 
     async def stop(self):
-        """End, after the outcomes under way are written."""
+        """Wait for the pending writes of outcomes, then stop."""
         writes = [
             held.write_task
             for held in self._held_key_by_name.values()
@@ -64,7 +64,7 @@
         await self._tasks.stop()
 
     async def run(self, request, sink):
-        """Run or answer a press; return the ``Refusal`` to give, if any."""
+        """Run a request or replay its response; return any ``Refusal``."""
         if len(request.key) > MAX_KEY_CHARS:
             return make_refusal(Code.MALFORMED_REQUEST, detail="Idempotency-Key")
         name = make_name(request.service.name, request.key)
@@ -78,7 +78,8 @@
             uuid.uuid4().hex, context.vm, context.incarnation, fingerprint
         )
         held = _HeldKey(self, name, record)
-        # Held before the first await: a second press must not claim too.
+        # Stored before the first await, so that a concurrent submission does
+        # not claim the key as well.
         self._held_key_by_name[name] = held
         try:
             found = await self._claim(held)
@@ -94,7 +95,7 @@
         return await self._once.run(request, sink, held)
 
     async def _claim(self, held):
-        """Return ``Ok(None)`` once claimed, ``Ok(record)`` of who has it."""
+        """Claim a key; return ``Ok(None)``, or ``Ok(record)`` of its owner."""
         for _ in range(MAX_WRITE_ATTEMPTS):
             value = format_record(held.record)
             put = await self._store.put(CLAIM_KIND, held.name, value, held.version)
@@ -121,10 +122,11 @@
         return Err(make_refusal(Code.JOURNAL_UNAVAILABLE, 1.0))
 
     def _is_own_abandoned_claim(self, found):
-        """Tell whether this process claimed it and certainly never ran it.
+        """Return whether the claim is of this process and was never run.
 
-        The answer to the create was lost and the claim given up before it
-        took effect after all; whatever this process ran it still holds.
+        This happens when the response to a create is lost and the process
+        gives the claim up before the create takes effect. The process still
+        holds every key that it has run.
         """
         is_ours = found.incarnation == self._context.incarnation
         return is_ours and found.state == CLAIMED
@@ -154,7 +156,7 @@
             return None
 
     async def write_outcome(self, held):
-        """Write a held record until it stands or the tries are used up."""
+        """Write the record of a key, with at most ``MAX_WRITE_ATTEMPTS``."""
         for _ in range(MAX_WRITE_ATTEMPTS):
             value = format_record(held.record)
             put = await self._store.put(CLAIM_KIND, held.name, value, held.version)
@@ -170,10 +172,10 @@
         self._counters.add("key_outcomes_lost")
 
     async def delete(self, held):
-        """Delete the claim of work that was not run, or is no longer kept."""
+        """Delete the claim of a request that was not run or has expired."""
         for _ in range(MAX_WRITE_ATTEMPTS):
-            gone = await self._store.delete(CLAIM_KIND, held.name, held.version)
-            if gone.is_ok() or gone.unwrap_err().code is Code.NOT_FOUND:
+            result = await self._store.delete(CLAIM_KIND, held.name, held.version)
+            if result.is_ok() or result.unwrap_err().code is Code.NOT_FOUND:
                 return
             await asyncio.sleep(RETRY_S)
             stored = await self._store.get(CLAIM_KIND, held.name)
@@ -184,13 +186,13 @@
                 held.version = stored.unwrap().version
 
     def release_key(self, held):
-        """Let go of a key that was not run; delete its claim, if any."""
+        """Remove a key whose request was not run, and its claim if any."""
         self._held_key_by_name.pop(held.name, None)
         if held.version or held.is_unsure:
             self._tasks.run(self.delete(held))
 
     def save_outcome(self, held):
-        """Write the outcome of a key that was run."""
+        """Start writing the outcome of a request that was run."""
         held.write_task = self._tasks.run(self.write_outcome(held))
 
     async def _clean_up(self):
@@ -206,7 +208,7 @@
 
 
 class _HeldKey:
-    """A key that this process claims, as ``once`` sees it."""
+    """A key that this process claims; the ``Record`` of ``once``."""
 
     def __init__(self, service, name, record):
         self.name = name
--- a/godwitlanding/daemons/services/journal.py
+++ b/godwitlanding/daemons/services/journal.py
@@ -1,4 +1,7 @@
-"""Writes this process's journal to the platform, many claims to a write."""
+"""Writes the journal of this process to the platform in batches.
+
+The journal records the claims of tickets and the outcomes of their requests.
+"""
 
 import asyncio
 import contextlib
@@ -15,20 +18,21 @@
 from godwitlanding.daemons.journalformat import Closer
 
 JOURNAL_KIND = "journal"
-# An outcome that is not written yet is lost with its process; a caller who
-# presses again is then told "unknown". Within half a second the next claim
-# comes at today's rates, and its write carries the outcome.
+# Outcomes wait this long for a claim to share its write; at current rates the
+# next claim comes within half a second. If the process ends before the write,
+# the outcome is lost, and a resubmission gets "unknown".
 OUTCOME_DELAY_S = 0.5
 RETRY_S = 0.1
-# A press minutes later is answered with the status alone from a journal
-# that was taken over; each write carries every body that is kept.
+# Each write contains all response bodies that are kept, so they are kept only
+# this long. After that, a journal that another process has closed returns the
+# status alone.
 BODY_RETENTION_S = 60.0
 CLEANUP_INTERVAL_S = 5.0
 MAX_CLOSE_ATTEMPTS = 5
 
 
 class JournalWriter(Service):
-    """Keeps the ``Journal`` of this incarnation and takes over others'."""
+    """Writes the ``Journal`` of this process and closes those of others."""
 
     name = "journal"
 
@@ -46,22 +50,22 @@
         self._tasks = Tasks()
 
     async def start(self, kernel):
-        """Begin to write what changes."""
+        """Start writing changes."""
         self._tasks.run(self._write_changes())
         self._tasks.repeat(CLEANUP_INTERVAL_S, self._clean_up)
 
     async def stop(self):
-        """Write the last outcomes, unless the platform is away."""
+        """Try once to write the last outcomes."""
         await self._tasks.stop()
         if self.journal.is_dirty and not self.journal.closed_by:
             await self._write()
 
     def get_status(self):
-        """Return counts for operators."""
+        """Return the counts of the journal for the status page."""
         return self.journal.get_status()
 
     def press(self, ticket, fingerprint, former=()):
-        """Press a ticket as ``Journal.press`` does."""
+        """Submit a ticket; see ``Journal.press``."""
         submitted = self.journal.press(ticket, fingerprint, former)
         self._changed.set()
         return submitted
@@ -69,12 +73,12 @@
     async def wait_recorded(self, claim):
         """Return ``None`` once the claim may be dispatched, else a refusal.
 
-        To be bounded by the caller; a claim that is given up on has to be
-        withdrawn.
+        There is no timeout: whoever awaits it has to limit the wait, and
+        withdraw the claim when the limit is reached.
         """
         if claim.may_dispatch:
             return None
-        # Held back, it would keep a licensed slot idle through an outage.
+        # Waiting would keep a licensed slot idle during an outage.
         if self._is_failing:
             return make_refusal(Code.JOURNAL_UNAVAILABLE, 1.0)
         if not claim.is_void:
@@ -89,26 +93,27 @@
         return make_refusal(Code.JOURNAL_UNAVAILABLE, 1.0)
 
     def withdraw(self, claim):
-        """Forget a claim that was certainly not run."""
+        """Remove a claim whose request was certainly not run."""
         self.journal.withdraw(claim)
         self._changed.set()
 
     def finish(self, claim, outcome):
-        """Record an outcome; ``None`` where it is not known."""
+        """Record the outcome of a claim, ``None`` if it is unknown."""
         self.journal.finish(claim, outcome)
         self._changed.set()
 
     def get_closed(self, incarnation):
-        """Return another's ``JournalText`` if it is known to be closed.
+        """Return the journal of an incarnation, if it is known to be closed.
 
-        A closed journal never changes again, so it is read once.
+        A closed journal never changes again, so it is read only once.
         """
         return self._closed_by_incarnation.get(incarnation)
 
     async def close(self, incarnation):
-        """Close another's journal; return ``Ok`` of its closed text.
+        """Close the journal of another incarnation; return ``Ok(text)``.
 
-        Another process may have closed it first: ``closed_by`` tells.
+        If a third process has closed it before, ``closed_by`` of the text
+        names that process.
         """
         for _ in range(MAX_CLOSE_ATTEMPTS):
             stored = await self._read(incarnation)
@@ -130,22 +135,22 @@
                 log_message("journal:closed", of=incarnation)
                 self._closed_by_incarnation[incarnation] = text
                 return Ok(text)
-            # After a conflict or a lost answer only reading tells.
+            # After a conflict or a lost response the state has to be read.
             await asyncio.sleep(RETRY_S)
         return Err(make_refusal(Code.JOURNAL_UNAVAILABLE, 1.0))
 
     async def _read(self, incarnation):
-        answer = await self._store.get(JOURNAL_KIND, incarnation)
-        if answer.is_err() and answer.unwrap_err().code is Code.NOT_FOUND:
+        response = await self._store.get(JOURNAL_KIND, incarnation)
+        if response.is_err() and response.unwrap_err().code is Code.NOT_FOUND:
             return Ok(None)
-        return answer
+        return response
 
     async def _write_changes(self):
         while not self.journal.closed_by:
             await self._changed.wait()
             self._changed.clear()
-            # A write whose answer was lost has to be settled even where
-            # nothing new came: its outcomes may not stand in the platform.
+            # A write whose response was lost has to be checked even without
+            # new changes, since its outcomes may be missing in the platform.
             if not (self.journal.is_dirty or self.journal.has_unresolved_writes):
                 continue
             await self._wait_for_batch()
@@ -156,10 +161,10 @@
         log_error("journal:fenced", closed_by=self.journal.closed_by.incarnation)
 
     async def _wait_for_batch(self):
-        """Wait for more to write: shortly for claims, longer for outcomes.
+        """Wait for more changes: briefly for claims, longer for outcomes.
 
-        A claim that comes long after the last write is written at once;
-        those that come while a write is under way share the next.
+        A claim that comes long after the last write is written at once.
+        Claims that come during a write share the next one.
         """
         loop = asyncio.get_running_loop()
         end = loop.time() + OUTCOME_DELAY_S
@@ -176,7 +181,7 @@
         self._written_at = loop.time()
 
     async def _write(self):
-        """Write once and learn what became of it; tell whether all is well."""
+        """Write once; return ``False`` if another write is needed."""
         if self.journal.has_unresolved_writes and not await self._settle():
             return False
         if self.journal.closed_by:
--- a/godwitlanding/daemons/services/lending.py
+++ b/godwitlanding/daemons/services/lending.py
@@ -1,4 +1,7 @@
-"""Owns a share of the zone's upstreams and lends them to the arbiters."""
+"""Lends the upstreams that this VM owns to the arbiters of its zone.
+
+The roster assigns each upstream of the zone to an owner among its members.
+"""
 
 import asyncio
 
@@ -19,7 +22,7 @@
 
 
 class Lending(Service):
-    """Keeps the roster and answers ``Loan`` for what this VM owns."""
+    """Maintains the roster and serves ``Loan`` requests of arbiters."""
 
     name = "lending"
     needs = ("peers", "members", "replication", "configuration", "platform")
@@ -32,7 +35,7 @@
         self._leaving = False
 
     async def start(self, kernel):
-        """Begin to keep the roster."""
+        """Register the message handlers and start maintaining the roster."""
         self._steward = UpstreamOwner(
             self._context.vm,
             self._context.incarnation,
@@ -50,7 +53,7 @@
         self._tasks.repeat(ROSTER_INTERVAL_S, self._update_roster)
 
     async def stop(self):
-        """End the rounds."""
+        """Stop maintaining the roster."""
         await self._tasks.stop()
 
     def get_owners(self):
@@ -58,15 +61,15 @@
         return set(self._steward.roster.owner_by_upstream.values())
 
     def get_longest_permit_s(self, service):
-        """Return the longest life of a permit that may still be open.
+        """Return the longest lifetime of any open permit, in seconds.
 
-        A deadline that the operators lower counts only for new permits, so
-        the highest one seen is kept.
+        When operators lower a deadline, open permits still have the former
+        one, so the highest deadline since the start counts.
         """
         return self.longest_permit_s_by_service.get(service, 0.0)
 
     def lend(self, vm, loan):
-        """Answer an arbiter on ``vm``; ``None`` where it is not our choice."""
+        """Lend to the arbiter on ``vm``; ``None`` if it is not the arbiter."""
         arbiters = self._members.get_arbiters().get(loan.service, ())
         if not arbiters or arbiters[0] != vm:
             return None
@@ -75,18 +78,18 @@
         return self._steward.lender.lend(loan, upstreams, permit_s, self._now())
 
     def apply_give_back(self, message):
-        """Take the word of an arbiter that uses its loans no more."""
+        """Record that an arbiter no longer uses its loans."""
         owned = self._get_owned(message.service)
         self._steward.lender.give_back(message, owned)
 
     async def hand_over(self):
-        """Give every upstream to another member before this VM ends."""
+        """Hand all upstreams over to other members, if there are any."""
         self._leaving = True
         while self._steward.lender.get_owned() and self._has_next_owners():
             await asyncio.sleep(ROSTER_INTERVAL_S)
 
     def get_status(self):
-        """Return what this VM owns and to whom it is lent."""
+        """Return the owned upstreams and their loans for the status page."""
         if self._steward is None:
             return {}
         status = self._steward.get_status(self._now())
@@ -128,8 +131,8 @@
     def _update_longest_permits(self):
         config = self._configuration.config
         for service in config.service_by_name.values() if config else ():
-            former = self.longest_permit_s_by_service.get(service.name, 0.0)
-            longest_s = max(former, service.deadline_s)
+            previous_s = self.longest_permit_s_by_service.get(service.name, 0.0)
+            longest_s = max(previous_s, service.deadline_s)
             self.longest_permit_s_by_service[service.name] = longest_s
 
     def _get_version(self):
@@ -166,7 +169,7 @@
             gone_vms=tuple(
                 vm for vm in self.get_owners() if members.membership.is_gone(vm, now)
             ),
-            # One member writes for all, so that they do not race each other.
+            # A single member writes the roster, to avoid conflicting writes.
             is_writer=self._replication.is_first_reader(),
             may_release=members.platform_reachable,
             leaving=self._leaving,
--- a/godwitlanding/daemons/services/requestexecutor.py
+++ b/godwitlanding/daemons/services/requestexecutor.py
@@ -1,4 +1,7 @@
-"""Carries a request: permit, dispatch, retry, or on to another zone."""
+"""Executes a request: acquires a permit, dispatches, retries or spills.
+
+A spill is a request that is forwarded to another zone.
+"""
 
 import asyncio
 from functools import singledispatchmethod
@@ -14,24 +17,24 @@
 
 
 class Finished(NamedTuple):
-    """The request has ended: answered, or with a refusal to give."""
+    """The request has ended with a response, or with a refusal to return."""
 
     refusal: Refusal | None
 
 
 class Retry(NamedTuple):
-    """Ask for another permit."""
+    """The request needs another permit; ``reason`` names the error."""
 
     reason: str
 
 
 class Guard:
-    """What has to be true before the first byte goes to an upstream."""
+    """A condition to meet before the first byte is sent to an upstream."""
 
     async def confirm(self):
         """Return ``None`` once the request may be dispatched.
 
-        Returns the ``Refusal`` to give where it may not.
+        Returns a ``Refusal`` if it may not be dispatched.
         """
 
 
@@ -39,7 +42,7 @@
 
 
 class ActiveRequest(NamedTuple):
-    """A request under way."""
+    """A request that is being executed, and its attempts so far."""
 
     request: object
     sink: object
@@ -48,7 +51,7 @@
 
 
 class RequestExecutor(Service):
-    """Carries requests to upstreams of its zone, or passes them on."""
+    """Executes requests at upstreams of this zone or in another zone."""
 
     name = "carrier"
     needs = ("permits", "upstreams", "passer")
@@ -59,23 +62,23 @@
         self._counters = context.counters
 
     async def start(self, kernel):
-        """Find the services that a request passes through."""
+        """Look up the services that are used."""
         self._permits = kernel.get("permits")
         self._upstreams = kernel.get("upstreams")
         self._passer = kernel.get("passer")
 
     def note_poison(self, message):
-        """Take another process's word on a request that crashes."""
+        """Record the report of another process on a crashing request."""
         now = asyncio.get_running_loop().time()
         self.policy.ledger.note_report(
             message.fingerprint, message.upstream, message.crashes, now
         )
 
     async def execute(self, request, sink, guard=NO_GUARD):
-        """Carry a request; return the ``Refusal`` to give, if any.
+        """Execute a request; return the ``Refusal``, or ``None`` if served.
 
-        Where ``sink.started`` is set beside a refusal, the answer broke
-        off after its beginning had gone to the caller.
+        A refusal with ``sink.started`` set means that the response broke
+        off after part of it was sent to the caller.
         """
         poison = self.policy.check(request, asyncio.get_running_loop().time())
         if poison:
@@ -147,7 +150,7 @@
         return self._handle_attempt(attempt, "", active)
 
     def _handle_expired_permit(self, request, now):
-        """The permit ran out, unused, before it could be dispatched."""
+        """Return the next step after a permit that expired before dispatch."""
         if request.deadline - now < request.service.work_s:
             return Finished(make_refusal(Code.DEADLINE_UNREACHABLE, 1.0))
         return Retry("PERMIT_EXPIRED")
--- a/godwitlanding/daemons/services/steerapi.py
+++ b/godwitlanding/daemons/services/steerapi.py
@@ -1,7 +1,7 @@
-"""The HTTP side of ``steer``: where to go, and the way to tickets.
+"""Serves the HTTP API of ``steer``: VM look-ups and tickets.
 
-Look-ups are most of what the process does, 900 a second on each node, and
-are answered right on ASGI; everything else goes through starlette.
+Look-ups are most of the load, 900 requests per second on each node, and are
+served directly on ASGI; all other requests go through starlette.
 """
 
 import json
@@ -18,21 +18,21 @@
 
 STEER_PATH = "/v1/steer/"
 _CALLER_HEADER = b"x-caller"
-# The parts of answers that are kept encoded. Whole answers are not: orders
-# of 24 VMs differ for nearly every caller, and encoding each anew took a
-# fifth of the time of a look-up.
+# Maximum number of encoded response parts in each cache. Only parts are
+# cached, because the order of the 24 VMs differs for nearly every caller;
+# encoding the parts for each response took a fifth of the time of a look-up.
 MAX_CACHED_PARTS = 8192
 
 
 class EncodedResponse(NamedTuple):
-    """An answer as the two messages that ASGI takes."""
+    """A response as the two messages that ASGI expects."""
 
     start: dict
     body: dict
 
 
 class SteerApi(Service):
-    """An ASGI app that puts answers together from encoded parts."""
+    """An ASGI app that assembles look-up responses from cached parts."""
 
     name = "answers"
     needs = ("routing", "tickets")
@@ -46,7 +46,7 @@
         self._trusts_header = context.settings["trust_caller_header"]
         self._max_age_s = context.settings["steer_max_age_s"]
         self._extra_headers = []
-        # Private: another caller behind the same cache has another answer.
+        # Private: callers behind a shared cache get different responses.
         self._cache_control = f"private, max-age={self._max_age_s:g}".encode()
         self._choice_by_key = {}
         self._tail_by_key = {}
@@ -62,13 +62,13 @@
         self._app = Starlette(routes=routes)
 
     async def start(self, kernel):
-        """Find the services that decide."""
+        """Look up the routing and ticket services."""
         self._kernel = kernel
         self._routing = kernel.get("routing")
         self._tickets = kernel.get("tickets")
 
     async def __call__(self, scope, receive, send):
-        """Answer a request, as an ASGI app."""
+        """Handle an ASGI request."""
         is_http = scope["type"] == "http"
         if is_http and scope["path"].startswith(STEER_PATH):
             if scope["method"] in ("GET", "HEAD"):
@@ -77,21 +77,21 @@
         await self._app(scope, receive, send)
 
     def close_connections(self):
-        """Tell callers with each answer that their connection closes."""
+        """Add ``Connection: close`` to all further look-up responses."""
         self._extra_headers = [(b"connection", b"close")]
 
     async def _handle_lookup(self, scope, receive, send):
         service = scope["path"][len(STEER_PATH) :]
-        found = self._make_lookup_response(service, self._get_caller(scope))
-        if isinstance(found, Refusal):
-            await self._refuse(found)(scope, receive, send)
+        result = self._make_lookup_response(service, self._get_caller(scope))
+        if isinstance(result, Refusal):
+            await self._refuse(result)(scope, receive, send)
             return
         self._counters.add("steer_answers", service=service)
-        await send(found.start)
-        await send(found.body)
+        await send(result.start)
+        await send(result.body)
 
     def _make_lookup_response(self, service, caller):
-        """Return the ``Encoded`` answer for a caller, or a refusal."""
+        """Return the ``EncodedResponse`` for a caller, or a ``Refusal``."""
         refusal = self._check_service(service)
         if refusal:
             return refusal
@@ -167,8 +167,10 @@
             return self._refuse(refusal)
         caller = self._get_caller(request.scope)
         was_redirected = "from" in request.query_params
-        answer = self._tickets.answer(caller, service, request.url.path, was_redirected)
-        return answer if isinstance(answer, Response) else self._refuse(answer)
+        outcome = self._tickets.answer(
+            caller, service, request.url.path, was_redirected
+        )
+        return outcome if isinstance(outcome, Response) else self._refuse(outcome)
 
     def _check_service(self, service):
         if not self._routing.is_ready():
--- a/godwitlanding/daemons/services/steershutdown.py
+++ b/godwitlanding/daemons/services/steershutdown.py
@@ -1,4 +1,4 @@
-"""How a steer process leaves: out of the answers first, cut off last."""
+"""Shuts a steer process down without interrupting callers."""
 
 import asyncio
 
@@ -6,11 +6,11 @@
 
 
 class SteerShutdown(Service):
-    """Keeps answering for one max-age after a stop was asked for.
+    """Keeps serving look-ups for one max-age after the stop signal.
 
-    The first answer after the signal names this VM no more. A caller that
-    still asks here is told where to go, on a connection that then closes,
-    so that none is cut off when the server stops.
+    Responses no longer list this VM. A caller that still sends a look-up
+    here gets a response and its connection is closed, so that no request is
+    interrupted when the server stops.
     """
 
     name = "leave"
@@ -22,11 +22,11 @@
         self._kernel = None
 
     async def start(self, kernel):
-        """Remember where the other services are found."""
+        """Store the kernel, to look up the other services in ``stop``."""
         self._kernel = kernel
 
     async def stop(self):
-        """Leave the answers, then go on answering for one max-age."""
+        """Remove this VM from responses, then keep serving for one max-age."""
         self._kernel.get("routing").leave()
         self._kernel.get("answers").close_connections()
         await asyncio.sleep(self._drain_s)
--- a/godwitlanding/daemons/services/zoneshutdown.py
+++ b/godwitlanding/daemons/services/zoneshutdown.py
@@ -1,4 +1,4 @@
-"""The graceful stop of a zone daemon, while everything else still runs."""
+"""Shuts a zone daemon down gracefully before its other services stop."""
 
 import asyncio
 
@@ -7,7 +7,10 @@
 
 
 class ZoneShutdown(Service):
-    """Takes this VM out of answers, gives up its upstreams, then ends."""
+    """Announces that this VM leaves, then hands over what it owns.
+
+    It hands over the arbiters first, then the ownership of upstreams.
+    """
 
     name = "departure"
     needs = (
@@ -29,11 +32,11 @@
         return self._kernel
 
     async def start(self, kernel):
-        """Note the kernel for the status page."""
+        """Store the kernel for the status page and for ``stop``."""
         self._kernel = kernel
 
     async def stop(self):
-        """Leave, waiting at most ``stop_limit_s``."""
+        """Announce and hand over, waiting at most ``stop_limit_s``."""
         members = self._kernel.get("members")
         members.set_leaving()
         await members.announce()
--- a/godwitlanding/tests/daemons/memory_network.py
+++ b/godwitlanding/tests/daemons/memory_network.py
@@ -1,7 +1,7 @@
-"""Connections between daemons of one process, without sockets.
+"""Simulates connections between daemons in one process, without sockets.
 
-Keeps the interface of ``wire`` that services use, so that zone daemons run
-on a paused clock. A VM can be cut off or killed.
+Implements the interface of ``wire`` that services use, so that zone daemons
+run on a paused clock. A VM can be disconnected or killed.
 """
 
 import asyncio
@@ -22,19 +22,19 @@
 
 
 class MemoryNetwork:
-    """Listeners by address, and who cannot reach whom."""
+    """The listeners by address, and the pairs of VMs that are disconnected."""
 
     def __init__(self):
         self.listener_by_address = {}
         self.cuts = set()
         self.sent = 0
 
-    def can_reach(self, one, other):
-        return frozenset((one, other)) not in self.cuts
+    def can_reach(self, first_vm, second_vm):
+        return frozenset((first_vm, second_vm)) not in self.cuts
 
 
 class MemoryChannel:
-    """One side of a connection."""
+    """One endpoint of a connection; ``other`` is the opposite one."""
 
     def __init__(self, network, own, peer, handlers):
         self.peer = peer
@@ -53,10 +53,10 @@
         done, _ = await asyncio.wait((task,), timeout=timeout_s)
         if not done or task.result() is None:
             return Err(make_refusal(Code.CALL_TIMEOUT))
-        answer = task.result()
-        if isinstance(answer, Failure):
-            return Err(make_refusal(Code(answer.code)))
-        return Ok(answer)
+        response = task.result()
+        if isinstance(response, Failure):
+            return Err(make_refusal(Code(response.code)))
+        return Ok(response)
 
     async def receive(self, message):
         self._network.sent += 1
@@ -82,7 +82,7 @@
 
 
 class MemoryPool:
-    """Stands in for ``wire.Pool``."""
+    """Replaces ``wire.Pool``."""
 
     def __init__(self, network, hello, handlers):
         self._network = network
@@ -100,12 +100,12 @@
         ):
             return Err(make_refusal(Code.PEER_UNREACHABLE))
         network = self._network
-        near = MemoryChannel(network, self._hello, listener.hello, self._handlers)
-        far = MemoryChannel(network, listener.hello, self._hello, listener.handlers)
-        near.other, far.other = far, near
-        listener.channels.update((near, far))
-        self._channel_by_address[address] = near
-        return Ok(near)
+        local = MemoryChannel(network, self._hello, listener.hello, self._handlers)
+        remote = MemoryChannel(network, listener.hello, self._hello, listener.handlers)
+        local.other, remote.other = remote, local
+        listener.channels.update((local, remote))
+        self._channel_by_address[address] = local
+        return Ok(local)
 
     async def call(self, address, message, timeout_s):
         connected = await self.get_channel(address)
@@ -125,7 +125,7 @@
 
 
 class MemoryListener(Service):
-    """Stands in for ``links.Listener``."""
+    """Replaces ``links.Listener``."""
 
     name = "listener"
     needs = ("peers", "members", "replication", "lending", "arbitration")
@@ -150,14 +150,14 @@
 
 
 class PlaceholderService(Service):
-    """A service that is only found by its name."""
+    """A service without function, for lookups by name."""
 
     def __init__(self, name):
         self.name = name
 
 
 class Daemon:
-    """A zone daemon and the entry process of its VM."""
+    """A zone daemon and the simulated entry process of its VM."""
 
     def __init__(self, network, store, vm, zone="a", seeds=()):
         number = int(vm.rsplit("m", 1)[1])
@@ -196,17 +196,17 @@
         self.entry_context = make_context("entry", settings)
         self.permits = ()
 
-        async def answer(channel, message):
+        async def handle_holdings(channel, message):
             return Held(self.permits)
 
-        async def receive(channel, state):
+        async def apply_state(channel, state):
             self.entry_context.replica.offer(state)
 
         address = f"{self.address}:{ENTRY_PORT}"
-        handlers = {Holdings: answer}
+        handlers = {Holdings: handle_holdings}
         self._entry = MemoryListener(network, self.entry_context, address, handlers)
         hello = self.entry_context.make_hello()
-        self.entry_pool = MemoryPool(network, hello, {State: receive})
+        self.entry_pool = MemoryPool(network, hello, {State: apply_state})
 
     async def start(self):
         await self._entry.start(None)
@@ -222,7 +222,7 @@
         return self.kernel.get(name)
 
     async def kill(self):
-        """End at once: nothing is given back."""
+        """Stop at once, without returning loans or ownership."""
         await self.listener.stop()
         for name in self.kernel.get_names():
             if name not in ("departure", "planner", "listener"):
@@ -231,7 +231,7 @@
 
 
 class MemoryZone:
-    """Some daemons, their platform and their network."""
+    """A group of daemons with their platform and network."""
 
     def __init__(self, vms, zone_by_vm=None):
         self.store = FakeStore()
@@ -244,7 +244,7 @@
         self.list_vms()
 
     def list_vms(self):
-        """Let the platform list the VMs that there are."""
+        """Write the current VMs to the platform's list."""
         self.store.set_vms(
             *(
                 (d.vm, d.address, d.context.availability_zone)
--- a/godwitlanding/tests/daemons/support_entry.py
+++ b/godwitlanding/tests/daemons/support_entry.py
@@ -1,4 +1,4 @@
-"""An entry process in the test's own loop, with fakes around it."""
+"""Runs an entry process in the event loop of a test, with fake peers."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,7 @@
 
 
 def _claim_addresses():
-    """Return three addresses that no other run of the tests has."""
+    """Reserve and return three addresses that no other test run uses."""
     for offset in range(4, 240, 4):
         control = f"127.0.30.{offset}"
         network = Network("127.0.30.", "127.0.30.", control, offset)
@@ -47,7 +47,7 @@
 
 
 def make_config(upstreams, zone=ZONE, other=()):
-    """Return a text whose three services share the ``upstreams``."""
+    """Return a configuration whose three services share ``upstreams``."""
 
     def make_service(name, kind, deadline_s):
         rows = [
@@ -61,7 +61,8 @@
             "upstreams": rows,
         }
 
-    # One address may stand once in a text, so the arbiter names them itself.
+    # A configuration may contain an address only once, so the upstreams of
+    # the other services come from the fake arbiter.
     services = [
         make_service("status", "lookup", 5),
         {**make_service("pay", "transaction", 5), "upstreams": []},
@@ -79,10 +80,10 @@
 
 
 class FakeZoneDaemon:
-    """A zone daemon that grants every request, or answers as told.
+    """A zone daemon that grants every request unless ``answer`` is set.
 
-    ``answer`` may be a function of an ``Acquire`` that returns the answer,
-    or a coroutine function; ``None`` from it means the usual grant.
+    ``answer`` is a function or coroutine function that maps an ``Acquire`` to
+    a response; a result of ``None`` means the usual grant.
     """
 
     def __init__(self, address, vm="za1", zone=ZONE):
@@ -119,16 +120,16 @@
         await self._server.stop()
 
     def push(self, kind, name, body, version=None):
-        """Set an object and push it to every subscriber."""
-        held = self.states.get((kind, name))
-        version = version or (held.version + 1 if held else 1)
+        """Store an object and send it to every subscriber."""
+        current = self.states.get((kind, name))
+        version = version or (current.version + 1 if current else 1)
         state = State(kind, name, version, json.dumps(body).encode())
         self.states[(kind, name)] = state
         for channel in self.channels:
             channel.send(state)
 
     def grant(self, upstream=None, address=None, **fields):
-        """Return a new grant."""
+        """Return a grant with a new permit id."""
         self._next_permit_id += 1
         number = (self._next_permit_id - 1) % max(1, len(self.upstreams))
         values = {
@@ -172,10 +173,10 @@
 
 
 class RawUpstream:
-    """An upstream whose answers a test writes byte by byte.
+    """An upstream whose raw response bytes are written by a test.
 
-    ``script`` is a coroutine function ``(writer, head, body)``; closing the
-    writer is a crash.
+    ``script`` is a coroutine function ``(writer, head, body)``; it closes the
+    writer to simulate a crash.
     """
 
     def __init__(self, address, script):
@@ -210,16 +211,16 @@
 
 
 def get_header(head, name):
-    """Return a header of a raw request head, or ``""``."""
+    """Return a header value of a raw request head, or ``""``."""
     for line in head.split("\r\n")[1:]:
-        found, _, value = line.partition(":")
-        if found.lower() == name.lower():
+        found_name, _, value = line.partition(":")
+        if found_name.lower() == name.lower():
             return value.strip()
     return ""
 
 
 def make_raw_response(head, body, *lines, status="200 OK"):
-    """Return a whole raw answer to the request in ``head``."""
+    """Return a complete raw response to the request in ``head``."""
     rows = [
         f"HTTP/1.1 {status}",
         f"Content-Length: {len(body)}",
@@ -230,7 +231,7 @@
 
 
 async def respond_hello(writer, head, body):
-    """Answer like an upstream that is well."""
+    """Respond like a healthy upstream."""
     writer.write(make_raw_response(head, b"hello"))
 
 
@@ -255,7 +256,7 @@
 
 
 def make_settings(address, vm="za1", zone=ZONE, **fields):
-    """Return the checked settings of an entry process."""
+    """Return validated settings of an entry process."""
     values = {
         "vm": vm,
         "address": address,
@@ -271,7 +272,7 @@
 
 
 class EntryHarness:
-    """An entry process, its zone daemon and its upstreams, started."""
+    """Starts and stops an entry process, its zone daemon and upstreams."""
 
     def __init__(self, address, scripts, store=None, **settings):
         self.address = address
@@ -311,7 +312,7 @@
 
 
 async def wait_until(check, limit_s=20.0):
-    """Wait for a condition; a generous limit, since machines are slow."""
+    """Wait for a condition; the limit allows for slow machines."""
     async with asyncio.timeout(limit_s):
         while not check():
             await asyncio.sleep(0.005)
--- a/godwitlanding/tests/daemons/test_claims.py
+++ b/godwitlanding/tests/daemons/test_claims.py
@@ -1,4 +1,4 @@
-"""Payments, orders and bookings over HTTP: at most once, whoever fails."""
+"""Tests that non-idempotent requests run at most once under failures."""
 
 import asyncio
 import contextlib
@@ -27,13 +27,13 @@
 
 
 async def pay(writer, head, body):
-    """Run a payment."""
+    """Respond to a payment."""
     line = "Content-Type: text/plain"
     writer.write(make_raw_response(head, b"paid", line, status="201 Created"))
 
 
 async def pay_slowly(writer, head, body):
-    """Run a payment that takes a moment."""
+    """Respond to a payment after 0.3 seconds."""
     await asyncio.sleep(0.3)
     await pay(writer, head, body)
 
@@ -47,7 +47,7 @@
 
 
 async def submit(harness, ticket, body=b"10 zl", path="/s/pay/renew"):
-    """Press once; return the status, or the code of a refusal."""
+    """Submit a request; return its response, or the code of a refusal."""
     headers = {"Idempotency-Key": ticket}
     status, headers, text = await fetch(
         harness, path, "POST", data=body, headers=headers
@@ -70,7 +70,7 @@
 
 
 async def test_concurrent_submissions_run_once():
-    """An impatient caller presses several times before any answer comes."""
+    """A caller submits one ticket several times before any response."""
     async with EntryHarness(ADDRESS, [pay_slowly] * 3) as harness:
         ticket = make_ticket(harness)
         answers = await asyncio.gather(*(submit(harness, ticket) for _ in range(5)))
@@ -91,9 +91,9 @@
 
 @pytest.mark.parametrize("kind", [JOURNALED, MEMORY_ONLY])
 async def test_crash_of_the_upstream_leaves_the_outcome_unknown(kind):
-    """The upstream dies with a payment in hand; the caller presses again.
+    """The upstream crashes during a payment; the caller submits it again.
 
-    Nobody knows whether it ran, so it must not go to another upstream.
+    The payment may have run, so it must not go to another upstream.
     """
     async with EntryHarness(ADDRESS, [crash, pay]) as harness:
         ticket = make_ticket(harness, kind=kind)
@@ -102,14 +102,14 @@
         assert count_runs(harness) == 1
 
 
-@pytest.mark.parametrize("word", ["shed", "draining"])
-async def test_request_refused_by_an_upstream_runs_at_another(word):
-    async with EntryHarness(ADDRESS, [make_refusing_script(word), pay]) as harness:
+@pytest.mark.parametrize("reason", ["shed", "draining"])
+async def test_request_refused_by_an_upstream_runs_at_another(reason):
+    async with EntryHarness(ADDRESS, [make_refusing_script(reason), pay]) as harness:
         assert await submit(harness, make_ticket(harness)) == (201, b"paid")
 
 
 async def test_request_refused_by_the_arbiter_may_run_later():
-    """The zone is full at the first press and not at the second."""
+    """The zone is full at the first submission but not at the second."""
     async with EntryHarness(ADDRESS, [pay]) as harness:
         ticket = make_ticket(harness)
         harness.zone.answer = lambda asked: Refused(2001, 1.0)
@@ -121,7 +121,8 @@
 async def test_outcome_is_kept_after_the_caller_disconnects():
     """The caller's connection breaks while the payment runs.
 
-    The payment has been sent, so it goes on; the next press learns of it.
+    The payment was sent, so it is completed; the next submission gets its
+    recorded response.
     """
     async with EntryHarness(ADDRESS, [pay_slowly]) as harness:
         ticket = make_ticket(harness)
@@ -147,10 +148,10 @@
 
 
 async def test_outage_of_the_platform():
-    """The platform goes away and comes back between three presses.
+    """The platform has an outage and recovers between three submissions.
 
-    Without a record nothing is run, and the caller is told just that; a
-    ticket issued meanwhile is kept in memory only and runs.
+    Without a recorded claim the request is refused as not run. A ticket that
+    is issued during the outage is kept in memory only, and runs.
     """
     async with EntryHarness(ADDRESS, [pay]) as harness:
         harness.store.set_available(False)
@@ -167,10 +168,10 @@
 
 
 async def test_outcome_is_written_after_an_outage_without_another_submission():
-    """The platform goes away between a payment's claim and its outcome.
+    """The platform is down between the claim and the outcome of a payment.
 
-    Did the outcome wait for the next payment, a home that is replaced
-    meanwhile would leave "unknown" behind.
+    If the outcome was written only with the next payment, replacing the home
+    before that would leave the outcome unknown.
     """
     async with EntryHarness(ADDRESS, [pay]) as harness:
         assert await submit(harness, make_ticket(harness)) == (201, b"paid")
@@ -186,7 +187,7 @@
 
 
 async def test_claim_with_a_lost_write_response_runs_once():
-    """The platform records the claim and its answer gets lost."""
+    """The platform records the claim but its response is lost."""
     async with EntryHarness(ADDRESS, [pay]) as harness:
         harness.store.lost_answers = 1
         ticket = make_ticket(harness)
@@ -210,12 +211,12 @@
 async def test_submission_after_the_home_is_gone(
     step, expected, runs, lost_answers, monkeypatch
 ):
-    """A home is killed at some step of a payment; its VM leaves the list.
+    """A home is killed during a payment and its VM is removed from the list.
 
-    The caller presses again at another VM, which takes over, even if the
-    answer to its closing of the journal is lost.
+    The caller submits again at another VM, which replaces the home, even if
+    the response to its write that closes the journal is lost.
     """
-    # ``run_to`` presses with this fingerprint.
+    # The fingerprint that ``run_to`` uses.
     monkeypatch.setattr(claims, "compute_body_fingerprint", lambda request: 7)
     async with EntryHarness(ADDRESS, [pay]) as harness:
         _, platform = run_until(step)
@@ -231,7 +232,7 @@
 
 @contextlib.asynccontextmanager
 async def start_two_processes(scripts):
-    """Start two entry processes of one zone that know each other."""
+    """Start two entry processes of one zone that list each other."""
     store = FakeStore()
     async with EntryHarness(ADDRESS, scripts, store) as first:
         async with EntryHarness(SECOND_ADDRESS, [], store, vm="za2") as second:
@@ -240,7 +241,7 @@
                 (harness.context.vm, harness.address, harness.context.incarnation)
                 for harness in (first, second)
             ]
-            # Each asks its own fake arbiter.
+            # Each requests permits from its own fake arbiter.
             for harness, own_first in ((first, rows), (second, rows[::-1])):
                 harness.zone.push("members", "za", make_members(*own_first))
                 feed = harness.kernel.get("feed")
@@ -259,9 +260,9 @@
 
 
 async def test_replaced_home_runs_none_of_its_tickets():
-    """A home is paused and replaced, and goes on as if nothing had happened.
+    """A home is paused, replaced, and then resumes.
 
-    What it had claimed it may end; all else is run by its replacement.
+    It may complete what it had claimed; its replacement runs all else.
     """
     async with start_two_processes([pay] * 3) as (first, second):
         done, late = make_ticket(first, "n1"), make_ticket(first, "n2")
@@ -273,15 +274,15 @@
         assert await submit(first, late) == (201, b"paid")
         assert (len(first.zone.asked), len(second.zone.asked)) == (2, 1)
         assert await submit(second, late) == (201, b"paid")
-        # Its memory knows an outcome that was not written in time.
+        # The home still has the outcome, which was not written in time.
         assert await submit(first, done) == (201, b"paid")
         assert count_runs(first) == 2
 
 
 async def test_home_that_stopped_recently_is_not_replaced():
-    """The home does not answer, but the zone has not noticed yet.
+    """The home does not respond, but the zone still lists it as alive.
 
-    Taking over at once would fence a home that is merely restarting.
+    Replacing it at once would fence a home that is merely restarting.
     """
     async with start_two_processes([pay]) as (first, second):
         ticket = make_ticket(first)
@@ -296,9 +297,9 @@
 
 
 async def test_memory_only_ticket_is_unknown_after_its_home_ends():
-    """A ticket was issued during an outage and its home has ended since.
+    """A ticket was issued during an outage and its home has since ended.
 
-    Only the home's memory knew whether it ran: it is never run again.
+    Only the home's memory recorded whether it ran, so it is not run again.
     """
     async with EntryHarness(ADDRESS, [pay]) as harness:
         ticket = make_ticket(harness, kind=MEMORY_ONLY, incarnation="za1-entry-0")
@@ -307,7 +308,7 @@
 
 
 async def test_caller_key_submitted_at_two_vms_runs_once():
-    """A caller without tickets presses at two VMs in the same moment."""
+    """A caller without tickets submits at two VMs at the same time."""
     async with start_two_processes([pay_slowly] * 2) as (first, second):
         answers = await asyncio.gather(
             submit(first, "order-7"), submit(second, "order-7")
@@ -346,7 +347,7 @@
 
 
 async def test_caller_key_of_an_ended_process_is_unknown():
-    """The process that claimed a key is killed before it wrote an outcome."""
+    """The process that claimed a key is gone before it wrote the outcome."""
     async with start_two_processes([pay_slowly]) as (first, second):
         task = asyncio.ensure_future(submit(first, "order-7"))
         await wait_until(lambda: count_runs(first))
--- a/godwitlanding/tests/daemons/test_entry.py
+++ b/godwitlanding/tests/daemons/test_entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon over HTTP, from caller to upstream and back."""
+"""Tests the entry process over HTTP, from caller to upstream and back."""
 
 import asyncio
 
@@ -18,10 +18,10 @@
 
 
 async def fetch(harness, path="/s/status/x", method="GET", **options):
-    """Return status, headers and body of one request."""
+    """Send a request; return status, headers and body of the response."""
     async with aiohttp.ClientSession() as session:
-        async with session.request(method, harness.url + path, **options) as answer:
-            return answer.status, answer.headers, await answer.read()
+        async with session.request(method, harness.url + path, **options) as response:
+            return response.status, response.headers, await response.read()
 
 
 async def test_request_is_forwarded_unchanged():
@@ -47,18 +47,18 @@
 )
 async def test_bad_request_is_refused(path, headers, status, code):
     async with EntryHarness(ADDRESS, [respond_hello]) as harness:
-        answer = await fetch(harness, path, headers=headers)
-        assert answer[0] == status
-        assert f'"code":{code}'.encode() in answer[2]
-        assert answer[1]["Godwit-Request-Id"]
+        response = await fetch(harness, path, headers=headers)
+        assert response[0] == status
+        assert f'"code":{code}'.encode() in response[2]
+        assert response[1]["Godwit-Request-Id"]
         assert not harness.upstreams[0].heads
 
 
 async def test_requests_over_max_connections_are_refused_with_a_code():
-    """Callers send more at once than the settings allow one process.
+    """More requests arrive at once than ``max_connections`` allows.
 
-    The surplus is told at once to come back; a plain 503 would not say
-    that nothing was run.
+    The surplus is refused at once with a retry time and the status "not
+    run", which a plain 503 would not contain.
     """
     reached, release = asyncio.Event(), asyncio.Event()
 
@@ -78,10 +78,10 @@
 
 
 async def test_request_is_refused_early_while_no_arbiter_responds():
-    """A zone has lost its arbiters for longer than a take-over lasts.
+    """A zone has no arbiter for longer than a take-over lasts.
 
-    Callers that were held until their deadline could not go to another zone
-    any more; they are told to as soon as the wait has become vain.
+    A caller that waited until its deadline could not retry in another zone,
+    so the request is refused once waiting longer is pointless.
     """
     async with EntryHarness(ADDRESS, [respond_hello], loan_s=0.1) as harness:
         harness.zone.answer = lambda message: Failure(Code.NO_ARBITER.value)
@@ -124,9 +124,9 @@
 
 
 async def test_permit_is_released_when_the_caller_disconnects():
-    """A caller closes its connection while the upstream works for it.
+    """A caller closes its connection while its request runs upstream.
 
-    Were its permit kept, others would wait for a slot that works for nobody.
+    A permit that is kept would make others wait for an idle slot.
     """
 
     async def hang(writer, head, body):
@@ -141,7 +141,7 @@
 
 
 async def test_queued_request_is_withdrawn_when_the_caller_disconnects():
-    """A caller gives up in the queue; the arbiter must not grant it a slot."""
+    """A queued caller disconnects; the arbiter must not grant it a slot."""
     async with EntryHarness(ADDRESS, [respond_hello]) as harness:
         harness.zone.answer = lambda message: asyncio.sleep(60)
         task = asyncio.ensure_future(fetch(harness))
--- a/godwitlanding/tests/daemons/test_entryshutdown.py
+++ b/godwitlanding/tests/daemons/test_entryshutdown.py
@@ -1,4 +1,4 @@
-"""The planned stop of an entry process."""
+"""Tests the graceful stop of an entry process."""
 
 import asyncio
 
@@ -17,17 +17,17 @@
 async def test_stop_interrupts_no_request():
     """An entry process is stopped under load, as in a planned replacement.
 
-    A download that runs goes on to its end, and a caller with a cached
-    answer, who knows nothing of the stop, is served as before.
+    A running download is completed, and a caller with a cached ``steer``
+    response, which still lists this VM, is served as before.
     """
     may_end = asyncio.Event()
 
     async def serve(writer, head, body):
-        answer = make_raw_response(head, b"x" * 200_000)
-        writer.write(answer[:-5])
+        response = make_raw_response(head, b"x" * 200_000)
+        writer.write(response[:-5])
         if "bundle" in head:
             await may_end.wait()
-        writer.write(answer[-5:])
+        writer.write(response[-5:])
 
     sleep_durations = asyncio.Queue()
     drain_ended = asyncio.Event()
@@ -60,7 +60,7 @@
 
 
 async def test_stop_ends_at_its_limit():
-    """A request never ends; whoever stops the process waits in vain."""
+    """A request that does not end must not block the stop forever."""
 
     async def hang(writer, head, body):
         await asyncio.sleep(60)
--- a/godwitlanding/tests/daemons/test_not_run.py
+++ b/godwitlanding/tests/daemons/test_not_run.py
@@ -1,4 +1,4 @@
-""" "Not run" is said of the work, not of one press of the button."""
+"""Tests that "not run" refers to a ticket, not to a single submission."""
 
 import json
 
@@ -11,7 +11,7 @@
 )
 from godwitlanding.tests.daemons.test_entry import fetch
 
-RESUBMITTED = {"Idempotency-Key": "gwt1.pressed-before"}
+RESUBMITTED = {"Idempotency-Key": "gwt1.submitted-before"}
 
 
 @pytest.mark.parametrize(
@@ -26,16 +26,16 @@
 async def test_resubmission_at_a_process_without_config(
     path, has_config, headers, name, run
 ):
-    """The home dies while it runs a payment and is started again at once.
+    """The home crashes while it runs a payment and is restarted at once.
 
-    The caller presses again before the new process has the configuration,
-    or while it has one without the service. Told "not run", the caller
+    The caller submits again before the new process has a configuration, or
+    while it has one without the service. After a "not run" status the caller
     would pay a second time in another way.
     """
     async with EntryHarness(ADDRESS, [respond_hello]) as harness:
         if not has_config:
             del harness.context.replica.state_by_key["config", "main"]
-        answer = await fetch(harness, path, method="POST", headers=headers)
-        problem = json.loads(answer[2])
+        response = await fetch(harness, path, method="POST", headers=headers)
+        problem = json.loads(response[2])
         assert (problem["name"], problem["run"]) == (name, run)
-        assert answer[1]["Godwit-Run"] == run
+        assert response[1]["Godwit-Run"] == run
--- a/godwitlanding/tests/daemons/test_requestexecutor.py
+++ b/godwitlanding/tests/daemons/test_requestexecutor.py
@@ -1,4 +1,4 @@
-"""Retries, broken answers and spill, as the caller sees them."""
+"""Tests retries, broken responses and spill from the caller's side."""
 
 import asyncio
 import contextlib
@@ -28,7 +28,7 @@
 
 
 async def send_half_response(writer, head, body):
-    """Promise 100 bytes and die after 50."""
+    """Announce 100 bytes and close the connection after 50."""
     writer.write(make_raw_response(head, b"x" * 100)[:-50])
     await writer.drain()
     writer.close()
@@ -43,17 +43,17 @@
 
 
 async def respond_without_length(writer, head, body):
-    """Answer without a length: its end cannot be told from a break."""
+    """Respond without a length, so its end looks like a broken connection."""
     writer.write(b"HTTP/1.1 200 OK\r\n\r\nhalf an answer")
     await writer.drain()
     writer.close()
 
 
 async def respond_to_another_request(writer, head, body):
-    """Give the answer to somebody else's request."""
-    answer = make_raw_response(head, b"another caller's pass")
+    """Send a response that carries the id of another request."""
+    response = make_raw_response(head, b"another caller's pass")
     request_id = get_header(head, "Request-Id").encode()
-    writer.write(answer.replace(request_id, b"0" * len(request_id)))
+    writer.write(response.replace(request_id, b"0" * len(request_id)))
 
 
 @pytest.mark.parametrize(
@@ -68,9 +68,9 @@
     ],
 )
 async def test_failed_lookup_is_retried_at_another_upstream(script, outcome, reason):
-    """The first upstream fails a look-up in one of the ways that it can.
+    """The first upstream fails a look-up in one of several ways.
 
-    The caller sees nothing of it but the complete answer of the second.
+    The caller must receive only the complete response of the second one.
     """
     async with EntryHarness(ADDRESS, [script, respond_hello]) as harness:
         status, _, body = await fetch(harness)
@@ -84,7 +84,7 @@
 
 
 async def test_unreachable_upstream_is_reported_as_not_run():
-    """An upstream is gone; nothing was sent, and the caller is told so."""
+    """The upstream is gone, so nothing was sent: the refusal says "no"."""
     async with EntryHarness(ADDRESS, [respond_hello]) as harness:
         await harness.upstreams[0].stop()
         status, _, body = await fetch(harness)
@@ -92,9 +92,9 @@
 
 
 async def test_refused_retry_after_a_crash_is_reported_as_unknown():
-    """The first upstream crashes and the arbiter then refuses a second try.
+    """The first upstream crashes and the arbiter refuses a second attempt.
 
-    Told that nothing ran, the caller would take a half-done work for none.
+    A "not run" status would hide that the request may have run in part.
     """
     async with EntryHarness(ADDRESS, [crash]) as harness:
         status, _, body = await fetch(harness)
@@ -102,7 +102,7 @@
 
 
 async def test_request_that_crashes_two_upstreams_is_rejected():
-    """One request crashes each upstream that runs it, and is sent again."""
+    """A request crashes each upstream that runs it, and is sent repeatedly."""
 
     async def crash_on_poison(writer, head, body):
         await (crash if "poison" in head else respond_hello)(writer, head, body)
@@ -116,7 +116,7 @@
 
 
 def serve_file(break_at=None, etag='"v1"', total=FULL_BODY):
-    """Serve ``total`` with ranges, dying after ``break_at`` bytes of it."""
+    """Serve ``total`` with ranges; crash after byte ``break_at`` of it."""
 
     async def serve(writer, head, body):
         range_header = get_header(head, "Range")
@@ -127,11 +127,11 @@
         if first:
             lines.append(f"Content-Range: bytes {first}-{len(total) - 1}/{len(total)}")
         status = "206 Partial Content" if first else "200 OK"
-        answer = make_raw_response(head, total[first:], *lines, status=status)
+        response = make_raw_response(head, total[first:], *lines, status=status)
         if break_at is None:
-            writer.write(answer)
+            writer.write(response)
             return
-        writer.write(answer[: break_at - len(total[first:])])
+        writer.write(response[: break_at - len(total[first:])])
         await writer.drain()
         writer.close()
 
@@ -151,10 +151,10 @@
     ],
 )
 async def test_interrupted_download_is_resumed_or_fails_visibly(scripts, is_whole):
-    """A plan bundle breaks off after part of it has gone to the caller.
+    """A download fails after part of it was sent to the caller.
 
-    Under the same strong validator another upstream gives the rest; in all
-    other cases the caller must see that its bundle is not complete.
+    With the same strong ETag another upstream sends the rest. In all other
+    cases the caller must see that the download is incomplete.
     """
     async with EntryHarness(ADDRESS, scripts) as harness:
         if is_whole:
@@ -165,17 +165,17 @@
 
 
 async def test_surplus_response_on_a_kept_connection_is_discarded():
-    """An upstream sends an answer twice over a connection that is kept.
+    """An upstream sends a response twice on a kept-alive connection.
 
-    The next request on it would be answered with the pass of another.
+    The next request on it must not receive the response of another.
     """
 
     async def respond_twice(writer, head, body):
-        answer = make_raw_response(head, head.split()[1].encode())
-        writer.write(answer)
+        response = make_raw_response(head, head.split()[1].encode())
+        writer.write(response)
         await writer.drain()
         await asyncio.sleep(0.02)
-        writer.write(answer)
+        writer.write(response)
 
     async def respond_with_path(writer, head, body):
         writer.write(make_raw_response(head, head.split()[1].encode()))
@@ -190,7 +190,7 @@
 
 @contextlib.asynccontextmanager
 async def start_two_zones(scripts_a, scripts_b):
-    """Start an entry process in each of two zones that know each other."""
+    """Start an entry process in each of two zones that list each other."""
     async with EntryHarness(ADDRESS, scripts_a) as a:
         async with EntryHarness(OTHER_ADDRESS, scripts_b, vm="zb1") as b:
             rows = [
@@ -223,7 +223,7 @@
 
 @pytest.mark.parametrize("is_gone", [False, True])
 async def test_spill_that_was_not_run_is_retried_locally(is_gone):
-    """The other zone has filled up, or died, since the plan was made."""
+    """The other zone is full or down since the plan was made."""
     async with start_two_zones([respond_hello], [respond_hello]) as (a, b):
         a.zone.answer = lambda asked: PassOn("zb", 3.0) if asked.may_pass_on else None
         b.zone.answer = lambda asked: Refused(2001, 1.0)
@@ -234,9 +234,9 @@
 
 
 async def test_poison_request_is_rejected_in_the_other_zone_too():
-    """A request crashes two upstreams and its caller tries the next zone.
+    """A request crashes two upstreams and its caller tries another zone.
 
-    That zone would lose two of its own before it knew.
+    Without the report, that zone would lose two upstreams as well.
     """
     async with start_two_zones([crash] * 3, [respond_hello]) as (a, b):
         assert (await fetch(a, "/s/status/poison"))[0] == 422
@@ -247,9 +247,9 @@
 
 
 async def test_spill_respects_the_link_limit():
-    """More is to be passed on than the link between the zones may carry.
+    """More requests spill than the link between the zones may carry.
 
-    What is over the limit is served here, so that the link stays usable.
+    Requests over the limit are served locally, so the link stays usable.
     """
     async with start_two_zones([respond_hello], [respond_hello]) as (a, b):
         config = make_config([], other=("zb",))
@@ -269,7 +269,7 @@
 
 
 async def test_forged_spill_is_refused():
-    """A caller marks its own request as spill to get around the tickets."""
+    """A caller marks its own request as spill to bypass the tickets."""
     async with EntryHarness(ADDRESS, [respond_hello]) as harness:
         headers = {"Godwit-Hop": "1", "Godwit-Signature": KEY.hex()}
         status, _, body = await fetch(harness, "/s/pay/x", "POST", headers=headers)
