--- a/godwitlanding/daemons/services/arbitration.py
+++ b/godwitlanding/daemons/services/arbitration.py
@@ -275,7 +275,7 @@
         """
         addresses = set(self._members.get_peer_addresses().values())
         addresses |= set(
-            self._members.get_addresses_elsewhere()[:MAX_REMOTE_RECIPIENTS]
+            self._members.get_other_zone_addresses()[:MAX_REMOTE_RECIPIENTS]
         )
         for address in addresses:
             self._tasks.run(self._pool.send(address, poison))
--- a/godwitlanding/daemons/services/once.py
+++ b/godwitlanding/daemons/services/claimrunner.py
@@ -10,7 +10,7 @@
 from godwitlanding.daemons.services.requestexecutor import Guard
 
 
-class Record(Protocol):
+class ClaimRecord(Protocol):
     """Where a claim and its outcome are kept."""
 
     async def confirm(self):
@@ -23,21 +23,21 @@
         """Keep the outcome; ``None`` where it is not known."""
 
 
-class RecordGuard(Guard):
+class ClaimGuard(Guard):
     """Lets work be dispatched only once its claim is recorded.
 
     ``is_confirmed`` tells that bytes may have gone to an upstream.
     """
 
-    def __init__(self, record, limit_s):
+    def __init__(self, record, confirm_timeout_s):
         self.is_confirmed = False
         self._record = record
-        self._limit_s = limit_s
+        self._confirm_timeout_s = confirm_timeout_s
 
     async def confirm(self):
         """Wait for the record, for no longer than a slot may idle."""
         try:
-            async with asyncio.timeout(self._limit_s):
+            async with asyncio.timeout(self._confirm_timeout_s):
                 refusal = await self._record.confirm()
         except TimeoutError:
             refusal = make_refusal(Code.JOURNAL_UNAVAILABLE, 1.0)
@@ -45,7 +45,7 @@
         return refusal
 
 
-class OnceRunner(Service):
+class ClaimRunner(Service):
     """Carries claimed work in tasks that outlive their callers."""
 
     name = "once"
@@ -53,7 +53,7 @@
 
     def __init__(self, context):
         self._counters = context.counters
-        self._limit_s = context.settings["permit_start_s"]
+        self._confirm_timeout_s = context.settings["permit_start_s"]
         self._tasks = Tasks()
         self._running = set()
 
@@ -77,9 +77,9 @@
         along; later the work goes on, so that its outcome is known when
         the caller presses again.
         """
-        guard = RecordGuard(record, self._limit_s)
+        guard = ClaimGuard(record, self._confirm_timeout_s)
         recorder = ResponseRecorder(sink)
-        task = self._tasks.run(self._work(request, recorder, guard, record))
+        task = self._tasks.run(self._execute(request, recorder, guard, record))
         self._running.add(task)
         task.add_done_callback(self._running.discard)
         try:
@@ -92,7 +92,7 @@
             await recorder.deliver()
         return refusal
 
-    async def _work(self, request, recorder, guard, record):
+    async def _execute(self, request, recorder, guard, record):
         refusal = None
         is_known = False
         try:
@@ -108,10 +108,10 @@
         return refusal
 
 
-async def answer_again(pressed, sink):
+async def replay_response(submitted, sink):
     """Answer a press whose work is done; return the ``Refusal``, if any."""
-    if pressed.body is None:
-        detail = f"the upstream answered {pressed.status}"
+    if submitted.body is None:
+        detail = f"the upstream answered {submitted.status}"
         return make_refusal(Code.ANSWER_NOT_KEPT, detail=detail)
-    await replay(pressed, sink)
+    await replay(submitted, sink)
     return None
--- a/godwitlanding/daemons/services/claims.py
+++ b/godwitlanding/daemons/services/claims.py
@@ -12,9 +12,9 @@
 from godwitlanding.daemons.journal import Claim
 from godwitlanding.daemons.journalformat import Closer
 from godwitlanding.daemons.request import compute_body_fingerprint
-from godwitlanding.daemons.services.once import answer_again
+from godwitlanding.daemons.services.claimrunner import replay_response
 from godwitlanding.daemons.services.requestexecutor import Finished
-from godwitlanding.daemons.services.upstreams import CONNECTION_REFUSED
+from godwitlanding.daemons.services.upstreamclient import CONNECTION_REFUSED
 from godwitlanding.daemons.ticket import JOURNALED, is_ticket, read_ticket
 
 # Maximum number of successive replacements of a home that are followed.
@@ -102,7 +102,7 @@
         claim = submitted.unwrap()
         if not isinstance(claim, Claim):
             self._counters.add("answers_replayed", service=ticket.service)
-            return await answer_again(claim, sink)
+            return await replay_response(claim, sink)
         return await self._once.run(request, sink, _JournalRecord(self._journal, claim))
 
     async def _forward_to_home(self, request, sink, home):
--- a/godwitlanding/daemons/services/idempotencykeys.py
+++ b/godwitlanding/daemons/services/idempotencykeys.py
@@ -23,7 +23,7 @@
     parse_record,
 )
 from godwitlanding.daemons.request import compute_body_fingerprint
-from godwitlanding.daemons.services.once import answer_again
+from godwitlanding.daemons.services.claimrunner import replay_response
 
 CLAIM_KIND = "claim"
 RETRY_S = 0.1
@@ -135,7 +135,7 @@
         if record.fingerprint != fingerprint:
             return make_refusal(Code.TICKET_MISMATCH)
         if record.state == DONE:
-            return await answer_again(record.outcome, sink)
+            return await replay_response(record.outcome, sink)
         if record.state == CLAIMED and self._may_still_run(record):
             return make_refusal(Code.STILL_RUNNING, 1.0)
         return make_refusal(Code.OUTCOME_UNKNOWN)
--- a/godwitlanding/daemons/services/lending.py
+++ b/godwitlanding/daemons/services/lending.py
@@ -170,7 +170,7 @@
                 vm for vm in self.get_owners() if members.membership.is_gone(vm, now)
             ),
             # A single member writes the roster, to avoid conflicting writes.
-            is_writer=self._replication.is_first_reader(),
+            is_writer=self._replication.is_zone_writer(),
             may_release=members.platform_reachable,
             leaving=self._leaving,
         )
@@ -186,7 +186,7 @@
         written = await self._replication.write(ROSTER_KIND, zone, body, version)
         if written.is_ok():
             state = State(ROSTER_KIND, zone, written.unwrap(), body)
-            await self._replication.spread(state)
+            await self._replication.publish(state)
             return
         code = written.unwrap_err().code
         self._context.counters.add("roster_write_failed", code=code.name)
@@ -198,4 +198,4 @@
         if read.is_ok():
             stored = read.unwrap()
             state = State(ROSTER_KIND, zone, stored.version, stored.value)
-            await self._replication.spread(state)
+            await self._replication.publish(state)
--- a/godwitlanding/daemons/services/members.py
+++ b/godwitlanding/daemons/services/members.py
@@ -46,8 +46,8 @@
         self._configuration = None
         self._listeners = []
         self._alive_since_by_vm = {}
-        self._push_count = 0
-        self._beat_count = 0
+        self._published_count = 0
+        self._heartbeat_count = 0
 
     async def start(self, kernel):
         """Begin the heartbeats."""
@@ -62,9 +62,9 @@
         self._configuration = kernel.get("configuration")
         peers = kernel.get("peers")
         self._pool = peers.pool
-        peers.handle(Heartbeat, self._take_heartbeat)
-        self._context.replica.listen(self._take_state)
-        self._tasks.repeat(settings["heartbeat_s"], self._beat)
+        peers.handle(Heartbeat, self._handle_heartbeat)
+        self._context.replica.listen(self._apply_state)
+        self._tasks.repeat(settings["heartbeat_s"], self._send_heartbeats)
 
     async def stop(self):
         """End the heartbeats."""
@@ -104,7 +104,7 @@
             if vm != self._context.vm and member.address
         }
 
-    def get_addresses_elsewhere(self):
+    def get_other_zone_addresses(self):
         """Return ``ip:port`` of zone daemons in other zones."""
         port = self._context.settings["zone_port"]
         zone = self._context.availability_zone
@@ -126,14 +126,14 @@
 
     async def announce(self):
         """Send a heartbeat now, as when this VM begins to leave."""
-        await self._beat()
+        await self._send_heartbeats()
 
     def set_leaving(self):
         """Take this VM out of answers; it goes on serving what it has."""
         self.membership.leaving = True
         self.refresh()
 
-    def end_entry(self, incarnation):
+    def remove_entry(self, incarnation):
         """Name an entry process that leaves, or has died, to nobody."""
         if self.entry_incarnation == incarnation:
             self.entry_incarnation = ""
@@ -144,7 +144,7 @@
         now = self._now()
         members = self.membership.get_members(now, self._make_heartbeat())
         self.member_by_vm = self._mark_drained(members)
-        self._note_alive(now)
+        self._update_alive_since(now)
         if self.is_settled():
             self._publish()
 
@@ -174,7 +174,7 @@
             for vm, member in member_by_vm.items()
         }
 
-    def _note_alive(self, now):
+    def _update_alive_since(self, now):
         for vm, member in self.member_by_vm.items():
             if member.alive:
                 self._alive_since_by_vm.setdefault(vm, now)
@@ -203,8 +203,8 @@
         held = self._context.replica.get(MEMBERS_KIND, zone)
         if held and held.body == body:
             return
-        self._push_count += 1
-        state = State(MEMBERS_KIND, zone, self._push_count, body)
+        self._published_count += 1
+        state = State(MEMBERS_KIND, zone, self._published_count, body)
         self._context.replica.offer(state)
         for listener in self._listeners:
             listener()
@@ -222,10 +222,10 @@
 
     def _get_versions(self):
         states = self._context.replica.state_by_key.values()
-        return choose_versions(states, self._beat_count)
+        return choose_versions(states, self._heartbeat_count)
 
-    async def _beat(self):
-        self._beat_count += 1
+    async def _send_heartbeats(self):
+        self._heartbeat_count += 1
         self.refresh()
         heartbeat = self._make_heartbeat()
         for vm, address in self.get_peer_addresses().items():
@@ -239,14 +239,14 @@
         if sent.is_err():
             self._context.counters.add("heartbeats_unsent")
 
-    async def _take_heartbeat(self, channel, heartbeat):
+    async def _handle_heartbeat(self, channel, heartbeat):
         if channel.peer.availability_zone != self._context.availability_zone:
             return
         if channel.peer.role == ENTRY_ROLE:
-            self.end_entry(heartbeat.entry_incarnation)
+            self.remove_entry(heartbeat.entry_incarnation)
             return
-        is_news = self.membership.record_heartbeat(heartbeat, self._now())
-        if is_news:
+        has_changed = self.membership.record_heartbeat(heartbeat, self._now())
+        if has_changed:
             self.refresh()
         await self._fetch_missing(channel, heartbeat)
 
@@ -261,7 +261,7 @@
                 self._context.counters.add("versions_fetched", kind=row.kind)
                 replica.offer(fetched.unwrap())
 
-    def _take_state(self, state):
+    def _apply_state(self, state):
         if state.kind == VMS_KIND:
             try:
                 vm_list = parse_vm_list(state)
--- a/godwitlanding/daemons/services/permits.py
+++ b/godwitlanding/daemons/services/permitclient.py
@@ -21,8 +21,8 @@
 
 # An arbiter that is replaced takes a moment to collect the open permits.
 NO_ARBITER_WAIT_S = 0.1
-LAST_RELEASES_S = 1.0
-_MOVED = (
+RELEASE_FLUSH_S = 1.0
+_RETRY_CODES = (
     Code.PEER_UNREACHABLE,
     Code.CALL_TIMEOUT,
     Code.NO_ARBITER,
@@ -41,14 +41,14 @@
     needs = ("feed",)
 
     def __init__(self, context):
-        self.book = HeldPermits(context.settings["permit_start_s"])
+        self.held_permits = HeldPermits(context.settings["permit_start_s"])
         self._context = context
         self._counters = context.counters
         self._port = context.settings["zone_port"]
-        self._asks_by_vm = {}
+        self._calls_by_vm = {}
         # In this time another member takes the place of an arbiter that has
         # died. A request that waited longer would be held back in vain.
-        self._take_over_s = (
+        self._failover_s = (
             context.settings["member_timeout_s"] + context.settings["loan_s"]
         )
         self._is_stopped = False
@@ -57,17 +57,17 @@
     async def start(self, kernel):
         """Find the feed, whose connections are shared."""
         self._feed = kernel.get("feed")
-        self._context.replica.listen(self._note_state)
+        self._context.replica.listen(self._apply_state)
 
     async def stop(self):
         """Let the last releases go out."""
         self._is_stopped = True
-        await self._tasks.wait(LAST_RELEASES_S)
+        await self._tasks.wait(RELEASE_FLUSH_S)
         await self._tasks.stop()
 
     def get_status(self):
         """Return the number of open permits."""
-        return {"open": len(self.book)}
+        return {"open": len(self.held_permits)}
 
     async def acquire(self, request, excluded=(), attempt=0, may_pass_on=True):
         """Return a ``Permit``, a ``Spill`` or a ``Refusal``.
@@ -76,16 +76,16 @@
         """
         loop = asyncio.get_running_loop()
         tried = set()
-        give_up_at = loop.time() + self._take_over_s
+        give_up_deadline = loop.time() + self._failover_s
         while True:
-            asked_at = loop.time()
-            remaining_s = request.deadline - asked_at
+            requested_at = loop.time()
+            remaining_s = request.deadline - requested_at
             if remaining_s <= 0:
                 return make_refusal(Code.DEADLINE_UNREACHABLE, 1.0)
-            vm = self._choose(request.service.name, tried)
+            vm = self._choose_arbiter(request.service.name, tried)
             if vm is None:
                 is_late = remaining_s <= request.service.work_s + NO_ARBITER_WAIT_S
-                if is_late or asked_at >= give_up_at:
+                if is_late or requested_at >= give_up_deadline:
                     return make_refusal(Code.NO_ARBITER, 1.0)
                 tried.clear()
                 await asyncio.sleep(NO_ARBITER_WAIT_S)
@@ -102,19 +102,19 @@
                 attempt,
                 may_pass_on,
             )
-            answer = await self._ask(vm, message, remaining_s)
-            taken = self._take(answer, message, vm, asked_at)
-            if taken is not None:
-                return taken
+            answer = await self._send_acquire(vm, message, remaining_s)
+            final_answer = self._handle_answer(answer, message, vm, requested_at)
+            if final_answer is not None:
+                return final_answer
             tried.add(vm)
 
     def answer_holdings(self, holdings):
         """Return the open permits that a new arbiter asks for."""
-        return self.book.answer(holdings, asyncio.get_running_loop().time())
+        return self.held_permits.answer(holdings, asyncio.get_running_loop().time())
 
     def release(self, permit, outcome, took_s=0.0, fingerprint=0):
         """Give a permit back with its outcome."""
-        self.book.end(permit)
+        self.held_permits.end(permit)
         self._send(
             permit.arbiter_address,
             Release(
@@ -131,7 +131,7 @@
         """Tell the arbiter that a request passed on has ended."""
         self._send(spill.arbiter_address, Withdraw(spill.service, spill.ask_id))
 
-    def _choose(self, service, tried):
+    def _choose_arbiter(self, service, tried):
         for vm in self._get_arbiters(service):
             if vm not in tried and self._feed.view.get_address(vm):
                 return vm
@@ -140,36 +140,36 @@
     def _get_address(self, vm):
         return f"{self._feed.view.get_address(vm)}:{self._port}"
 
-    async def _ask(self, vm, message, timeout_s):
+    async def _send_acquire(self, vm, message, timeout_s):
         address = self._get_address(vm)
-        dialled = await self._feed.pool.get_channel(address)
-        if dialled.is_err():
-            return dialled
-        call = dialled.unwrap().start_call(message, timeout_s)
-        asks = self._asks_by_vm.setdefault(vm, {})
-        asks[call] = (message, self._is_first(vm, message.service))
+        connected = await self._feed.pool.get_channel(address)
+        if connected.is_err():
+            return connected
+        call = connected.unwrap().start_call(message, timeout_s)
+        calls = self._calls_by_vm.setdefault(vm, {})
+        calls[call] = (message, self._is_arbiter(vm, message.service))
         try:
             return await asyncio.shield(call)
         except asyncio.CancelledError:
             # The caller has gone. A grant that is already under way has to
             # go back, or its slot would stand idle until it expires.
             self._send(address, Withdraw(message.service, message.request_id))
-            call.add_done_callback(lambda call: self._give_back(call, address))
+            call.add_done_callback(lambda call: self._return_grant(call, address))
             raise
         finally:
-            del asks[call]
+            del calls[call]
 
-    def _take(self, answer, asked, vm, asked_at):
+    def _handle_answer(self, answer, asked, vm, requested_at):
         """Return the final word of an arbiter, or ``None``: ask another."""
         if answer.is_err():
             refusal = answer.unwrap_err()
-            if refusal.code not in _MOVED:
+            if refusal.code not in _RETRY_CODES:
                 return refusal
             self._counters.add("arbiter_asked_again", reason=refusal.code.name)
             return None
         message = answer.unwrap()
         if isinstance(message, Granted):
-            return self._accept(message, vm, asked_at)
+            return self._handle_granted(message, vm, requested_at)
         if isinstance(message, Refused):
             return make_refusal(
                 Code(message.code), message.retry_after_s, message.detail
@@ -177,17 +177,17 @@
         if isinstance(message, PassOn):
             return Spill(
                 message.availability_zone,
-                asked_at + message.valid_s,
+                requested_at + message.valid_s,
                 self._get_address(vm),
                 asked.service,
                 asked.request_id,
             )
         return make_refusal(Code.UNEXPECTED_MESSAGE)
 
-    def _accept(self, granted, vm, asked_at):
+    def _handle_granted(self, granted, vm, requested_at):
         now = asyncio.get_running_loop().time()
         address = self._get_address(vm)
-        accepted = self.book.accept(granted, asked_at, address, now)
+        accepted = self.held_permits.accept(granted, requested_at, address, now)
         if accepted.is_ok():
             if granted.waited_s > 0:
                 self._counters.add("requests_waited")
@@ -204,7 +204,7 @@
             ),
         )
 
-    def _give_back(self, call, address):
+    def _return_grant(self, call, address):
         answer = call.result().ok()
         if isinstance(answer, Granted):
             self._counters.add("permits_returned", reason="caller_gone")
@@ -221,7 +221,7 @@
         else:
             self._tasks.run(self._feed.pool.send(address, message))
 
-    def _note_state(self, state):
+    def _apply_state(self, state):
         """Ask anew where the arbiter that a request waits for was replaced.
 
         A paused arbiter keeps its connections open and answers nothing.
@@ -230,18 +230,18 @@
         """
         if state.kind != MEMBERS_KIND:
             return
-        for vm, asks in self._asks_by_vm.items():
-            for call, (message, was_first) in list(asks.items()):
-                if was_first and not self._is_first(vm, message.service):
-                    self._move_on(vm, call, message)
+        for vm, calls in self._calls_by_vm.items():
+            for call, (message, was_arbiter) in list(calls.items()):
+                if was_arbiter and not self._is_arbiter(vm, message.service):
+                    self._abandon_call(vm, call, message)
 
-    def _move_on(self, vm, call, message):
+    def _abandon_call(self, vm, call, message):
         if not call.done():
             call.set_result(Err(make_refusal(Code.STALE_ARBITER)))
         withdraw = Withdraw(message.service, message.request_id)
         self._send(self._get_address(vm), withdraw)
 
-    def _is_first(self, vm, service):
+    def _is_arbiter(self, vm, service):
         return vm in self._get_arbiters(service)[:1]
 
     def _get_arbiters(self, service):
--- a/godwitlanding/daemons/services/planner.py
+++ b/godwitlanding/daemons/services/planner.py
@@ -19,7 +19,7 @@
 PLAN_NAME = "main"
 
 
-class Planning(Service):
+class PlannerService(Service):
     """Holds or waits for the lease; one candidate a zone."""
 
     name = "planner"
@@ -28,7 +28,9 @@
     def __init__(self, context):
         self._context = context
         self._tasks = Tasks()
-        self._keeper = LeaseCandidate(context.incarnation, context.settings["lease_s"])
+        self._candidate = LeaseCandidate(
+            context.incarnation, context.settings["lease_s"]
+        )
         self._demand = Demand(context.settings["summary_max_age_s"])
         self._planner = None
 
@@ -41,16 +43,16 @@
         self._store = kernel.get("platform").store
         max_age_s = self._context.settings["steer_max_age_s"]
         self._planner = Planner(self._demand, max_age_s, self._now())
-        self._context.replica.listen(self._take_state)
+        self._context.replica.listen(self._apply_state)
         interval_s = self._context.settings["plan_interval_s"]
-        self._tasks.repeat(interval_s, self._run_round)
+        self._tasks.repeat(interval_s, self._update_plan)
 
     async def stop(self):
         """Give the lease back, so that another planner need not wait."""
         await self._tasks.stop()
-        if self._keeper.holds(self._now()):
-            body = format_lease(self._keeper.release())
-            await self._store.put(LEASE_KIND, LEASE_NAME, body, self._keeper.version)
+        if self._candidate.holds(self._now()):
+            body = format_lease(self._candidate.release())
+            await self._store.put(LEASE_KIND, LEASE_NAME, body, self._candidate.version)
 
     def get_status(self):
         """Return who holds the lease and what the plan waits for."""
@@ -58,16 +60,16 @@
             return {}
         now = self._now()
         return {
-            "holds_lease": self._keeper.holds(now),
-            "lease_holder": self._keeper.lease.holder,
-            "lease_version": self._keeper.version,
+            "holds_lease": self._candidate.holds(now),
+            "lease_holder": self._candidate.lease.holder,
+            "lease_version": self._candidate.version,
             **self._planner.get_status(now),
         }
 
     def _now(self):
         return asyncio.get_running_loop().time()
 
-    def _take_state(self, state):
+    def _apply_state(self, state):
         now = self._now()
         if state.kind == SUMMARY_KIND:
             config = self._configuration.config
@@ -87,21 +89,21 @@
                 return
             self._planner.take_plan(plan, state.version, now)
 
-    async def _run_round(self):
+    async def _update_plan(self):
         config = self._configuration.config
-        mine = self._replication.is_first_reader()
-        if config is None or not (mine or self._keeper.holds(self._now())):
+        is_writer = self._replication.is_zone_writer()
+        if config is None or not (is_writer or self._candidate.holds(self._now())):
             return
-        await self._keep_lease()
-        holds = self._keeper.holds(self._now())
+        await self._renew_lease()
+        holds = self._candidate.holds(self._now())
         self._summary.planner_vm = self._context.vm if holds else ""
         if not holds:
             return
         plan = self._planner.make_plan(config, self._now())
         if plan:
-            await self._write(plan)
+            await self._write_plan(plan)
 
-    async def _keep_lease(self):
+    async def _renew_lease(self):
         read = await self._store.get(LEASE_KIND, LEASE_NAME)
         now = self._now()
         if read.is_ok():
@@ -111,33 +113,33 @@
             except ValueError as error:
                 log_warning("planner:bad_lease", error=str(error))
                 lease = None
-            self._keeper.observe(lease, stored.version, now)
+            self._candidate.observe(lease, stored.version, now)
         elif read.unwrap_err().code is Code.NOT_FOUND:
-            self._keeper.observe(None, 0, now)
+            self._candidate.observe(None, 0, now)
         else:
             return
-        attempt = self._keeper.get_attempt(now)
+        attempt = self._candidate.get_attempt(now)
         if attempt is None:
             return
         written = await self._store.put(
-            LEASE_KIND, LEASE_NAME, format_lease(attempt), self._keeper.version
+            LEASE_KIND, LEASE_NAME, format_lease(attempt), self._candidate.version
         )
         if written.is_ok():
-            taken_over = self._keeper.lease.holder != attempt.holder
-            self._keeper.note_written(attempt, written.unwrap(), self._now())
+            taken_over = self._candidate.lease.holder != attempt.holder
+            self._candidate.note_written(attempt, written.unwrap(), self._now())
             if taken_over:
                 self._context.counters.add("planner_leases_taken")
         else:
             code = written.unwrap_err().code
             self._context.counters.add("lease_write_failed", code=code.name)
 
-    async def _write(self, plan):
+    async def _write_plan(self, plan):
         body = format_plan(plan)
         version = self._planner.version
         written = await self._replication.write(PLAN_KIND, PLAN_NAME, body, version)
         if written.is_ok():
             state = State(PLAN_KIND, PLAN_NAME, written.unwrap(), body)
-            await self._replication.spread(state)
+            await self._replication.publish(state)
             self._context.counters.add("plans_written")
             return
         # A lost answer or a paused former planner: the plan that is in
--- a/godwitlanding/daemons/services/probes.py
+++ b/godwitlanding/daemons/services/probes.py
@@ -49,8 +49,8 @@
         config = self._configuration.config
         zone = self._context.availability_zone
         for service in config.service_by_name.values() if config else ():
-            desk = self._arbitration.permit_server_by_service.get(service.name)
-            if desk and desk.active:
+            permit_server = self._arbitration.permit_server_by_service.get(service.name)
+            if permit_server and permit_server.active:
                 for upstream in service.get_upstreams(zone):
                     if upstream.id not in self._probing:
                         self._tasks.run(self._probe(upstream))
@@ -58,7 +58,7 @@
     async def _probe(self, upstream):
         self._probing.add(upstream.id)
         try:
-            state = await self._ask(upstream.address)
+            state = await self._fetch_state(upstream.address)
         finally:
             self._probing.discard(upstream.id)
         before = self.state_by_upstream.get(upstream.id)
@@ -66,14 +66,14 @@
         health = self._arbitration.health_by_service.get(upstream.service)
         if health is None:
             return
-        word = {"draining": DRAINING, FAILED: FAILED}.get(state, READY)
+        probe_result = {"draining": DRAINING, FAILED: FAILED}.get(state, READY)
         now = asyncio.get_running_loop().time()
-        health.note_probe(upstream.id, word, now)
+        health.note_probe(upstream.id, probe_result, now)
         self._arbitration.refresh_usable(upstream.service)
         if state == "cold" and before not in ("cold", None):
             self._arbitration.note_cold(upstream.service, upstream.id)
 
-    async def _ask(self, address):
+    async def _fetch_state(self, address):
         try:
             async with self._session.get(f"http://{address}/healthz") as response:
                 body = await response.content.read(MAX_BODY_BYTES)
--- a/godwitlanding/daemons/services/replication.py
+++ b/godwitlanding/daemons/services/replication.py
@@ -19,12 +19,12 @@
 from godwitlanding.daemons.services.members import ENTRY_ROLE, VMS_KIND, format_vm_list
 
 WATCHED_KINDS = ("config", "plan", "secret", "roster", "summary", "blocks")
-WATCHERS = 2
-WATCH_S = 30.0
-RETRY_S = 0.5
+WATCHER_COUNT = 2
+WATCH_TIMEOUT_S = 30.0
+RETRY_INTERVAL_S = 0.5
 # Members that do not watch look this many list intervals apart whether the
 # platform answers them; at 2,000 nodes that is 200 reads a second.
-REACH_INTERVALS = 5
+REACHABILITY_CHECK_INTERVALS = 5
 SECRET_BYTES = 32
 FETCH_TIMEOUT_S = 1.0
 
@@ -41,11 +41,11 @@
         self._kinds_by_channel = {}
         self._after_by_kind = {}
         self._watch_task_by_kind = {}
-        self._stored_older_by_key = {}
+        self._older_version_by_key = {}
         self._members = None
         self._peers = None
         self._store = None
-        self._loops = 0
+        self._list_rounds = 0
         self._handler_by_kind = {}
 
     async def start(self, kernel):
@@ -53,14 +53,14 @@
         self._members = kernel.get("members")
         self._peers = kernel.get("peers")
         self._store = kernel.get("platform").store
-        self._peers.handle(Subscribe, self._subscribe)
-        self._peers.handle(State, self._take_from_peer)
-        self._peers.handle(Fetch, self._answer_fetch)
+        self._peers.handle(Subscribe, self._handle_subscribe)
+        self._peers.handle(State, self._handle_state)
+        self._peers.handle(Fetch, self._handle_fetch)
         self._context.replica.listen(self._push)
         interval_s = self._context.settings["vm_list_s"]
         self._tasks.repeat(interval_s, self._read_vm_list)
-        self._tasks.repeat(RETRY_S, self._choose_watchers)
-        self._tasks.repeat(RETRY_S, self._ask_seeds)
+        self._tasks.repeat(RETRY_INTERVAL_S, self._update_watches)
+        self._tasks.repeat(RETRY_INTERVAL_S, self._fetch_from_seeds)
 
     async def stop(self):
         """End the watches."""
@@ -73,24 +73,24 @@
 
     def is_watcher(self):
         """Tell whether this member reads the platform for the zone."""
-        return self._context.vm in self._choose_readers(WATCHERS)
+        return self._context.vm in self._choose_reachable(WATCHER_COUNT)
 
-    def is_first_reader(self):
+    def is_zone_writer(self):
         """Tell whether this member writes what the zone writes once."""
-        return self._context.vm == self.choose_reader()
+        return self._context.vm == self.choose_zone_writer()
 
     def handle_kind(self, kind, handler):
         """Give states of a kind that are no objects to ``handler(state)``."""
         self._handler_by_kind[kind] = handler
 
-    def choose_reader(self):
+    def choose_zone_writer(self):
         """Return the member that writes what the zone writes once."""
-        return next(iter(self._choose_readers(1)), "")
+        return next(iter(self._choose_reachable(1)), "")
 
-    async def spread(self, state):
+    async def publish(self, state):
         """Take a state that this process has written and pass it on."""
         self._context.replica.offer(state)
-        self._pass_on(state)
+        self._send_to_peers(state)
 
     async def write(self, kind, name, body, version):
         """Write an object of the system's own; ``Ok(new version)``.
@@ -102,7 +102,7 @@
         written = await self._store.put(kind, name, body, version)
         if written.is_ok() or written.unwrap_err().code is not Code.VERSION_CONFLICT:
             return written
-        stored = await self._find_older(kind, name, version)
+        stored = await self._find_older_version(kind, name, version)
         if stored is None:
             return written
         log_warning(
@@ -114,7 +114,7 @@
         )
         return await self._store.put(kind, name, body, stored)
 
-    async def _find_older(self, kind, name, version):
+    async def _find_older_version(self, kind, name, version):
         read = await self._store.get(kind, name)
         if read.is_ok():
             stored = read.unwrap().version
@@ -134,22 +134,22 @@
                 f"{kind}/{name}": state.version
                 for (kind, name), state in sorted(replica.state_by_key.items())
             },
-            "older_on_platform": self._stored_older_by_key,
+            "older_on_platform": self._older_version_by_key,
             "subscribers": len(self._kinds_by_channel),
         }
 
-    def _choose_readers(self, count):
+    def _choose_reachable(self, count):
         zone = self._context.availability_zone
         members = self._members.member_by_vm
         return choose_reachable(f"watch/{zone}", members, count)
 
-    async def _choose_watchers(self):
-        wanted = self.is_watcher() or not self._members.is_settled()
+    async def _update_watches(self):
+        should_watch = self.is_watcher() or not self._members.is_settled()
         for kind in WATCHED_KINDS:
             task = self._watch_task_by_kind.get(kind)
-            if wanted and (task is None or task.done()):
+            if should_watch and (task is None or task.done()):
                 self._watch_task_by_kind[kind] = self._tasks.run(self._watch(kind))
-            elif task and not wanted:
+            elif task and not should_watch:
                 del self._watch_task_by_kind[kind]
                 await end_tasks([task])
 
@@ -159,17 +159,17 @@
             # The first look must not wait: a kind without objects answers
             # only after its timeout, and until then there would be no key
             # for tickets.
-            timeout_s = WATCH_S if kind in self._after_by_kind else 0.0
+            timeout_s = WATCH_TIMEOUT_S if kind in self._after_by_kind else 0.0
             answer = await self._store.watch(kind, after, timeout_s)
             if answer.is_err():
-                await self._note_watch_failure(kind, answer.unwrap_err())
+                await self._handle_watch_failure(kind, answer.unwrap_err())
                 continue
             self._members.platform_reachable = True
             batch = answer.unwrap()
             self._after_by_kind[kind] = batch.version
             for event in batch.events:
                 if not event.deleted:
-                    self._take_from_platform(event.stored, batch.version)
+                    self._apply_from_platform(event.stored, batch.version)
             if kind == "secret":
                 await self._create_secret()
             if kind == "summary":
@@ -177,7 +177,7 @@
                 # them instead of one answer for each.
                 await asyncio.sleep(1.0)
 
-    async def _note_watch_failure(self, kind, refusal):
+    async def _handle_watch_failure(self, kind, refusal):
         code = refusal.code
         self._context.counters.add("platform_watch_failed", code=code.name)
         if code is Code.WATCH_EXPIRED:
@@ -185,26 +185,26 @@
             return
         if code is Code.PLATFORM_UNAVAILABLE:
             self._members.platform_reachable = False
-        await asyncio.sleep(max(RETRY_S, refusal.retry_after_s))
+        await asyncio.sleep(max(RETRY_INTERVAL_S, refusal.retry_after_s))
 
-    def _take_from_platform(self, stored, platform_version):
+    def _apply_from_platform(self, stored, platform_version):
         state = State(stored.kind, stored.name, stored.version, stored.value)
         key = f"{state.kind}/{state.name}"
         held = self._context.replica.get_version(state.kind, state.name)
-        is_of_era = get_era(held) == get_era(platform_version)
-        is_reached = is_of_era and held <= platform_version
-        if is_reached or state.version >= held:
-            self._stored_older_by_key.pop(key, None)
-        if is_reached and state.version < held:
+        is_same_era = get_era(held) == get_era(platform_version)
+        includes_held = is_same_era and held <= platform_version
+        if includes_held or state.version >= held:
+            self._older_version_by_key.pop(key, None)
+        if includes_held and state.version < held:
             # Only late: what is held came by a peer or by an own write, and
             # the watch will bring it too.
             return
         if state.version < held:
-            self._stored_older_by_key[key] = state.version
+            self._older_version_by_key[key] = state.version
         if self._context.replica.offer(state):
-            self._pass_on(state)
+            self._send_to_peers(state)
 
-    def _pass_on(self, state):
+    def _send_to_peers(self, state):
         for address in self._members.get_peer_addresses().values():
             self._tasks.run(self._peers.pool.send(address, state))
 
@@ -217,9 +217,9 @@
         await self._store.put("secret", "ticket", body, 0)
 
     async def _read_vm_list(self):
-        self._loops += 1
-        mine = self.is_watcher() or not self.is_ready()
-        if not mine and self._loops % REACH_INTERVALS:
+        self._list_rounds += 1
+        must_read = self.is_watcher() or not self.is_ready()
+        if not must_read and self._list_rounds % REACHABILITY_CHECK_INTERVALS:
             return
         answer = await self._store.list_vms()
         if answer.is_err():
@@ -231,9 +231,9 @@
         self._members.platform_reachable = True
         state = format_vm_list(answer.unwrap())
         if self._context.replica.offer(state):
-            self._pass_on(state)
+            self._send_to_peers(state)
 
-    async def _ask_seeds(self):
+    async def _fetch_from_seeds(self):
         """Take the newest of everything from peers while the platform is away.
 
         A VM started during an outage has no list of VMs: it asks the
@@ -257,7 +257,7 @@
                 if answer.is_ok() and isinstance(answer.unwrap(), State):
                     self._context.replica.offer(answer.unwrap())
 
-    async def _subscribe(self, channel, message):
+    async def _handle_subscribe(self, channel, message):
         self._kinds_by_channel[channel] = frozenset(message.kinds)
         if channel.peer.role == ENTRY_ROLE and channel.peer.vm == self._context.vm:
             self._members.entry_incarnation = channel.peer.incarnation
@@ -265,22 +265,22 @@
         for state in list(self._context.replica.state_by_key.values()):
             if state.kind in message.kinds:
                 channel.send(state)
-        self._tasks.run(self._forget_when_closed(channel))
+        self._tasks.run(self._unsubscribe_when_closed(channel))
 
-    async def _forget_when_closed(self, channel):
+    async def _unsubscribe_when_closed(self, channel):
         await channel.closed.wait()
         self._kinds_by_channel.pop(channel, None)
         # One that has died must not stay named as the home of tickets and
         # to callers, who would find nobody there until another starts.
         if channel.peer.role == ENTRY_ROLE and channel.peer.vm == self._context.vm:
-            self._members.end_entry(channel.peer.incarnation)
+            self._members.remove_entry(channel.peer.incarnation)
 
     def _push(self, state):
         for channel, kinds in self._kinds_by_channel.items():
             if state.kind in kinds:
                 channel.send(state)
 
-    async def _take_from_peer(self, channel, state):
+    async def _handle_state(self, channel, state):
         if state.kind in self._handler_by_kind:
             self._handler_by_kind[state.kind](state)
             return
@@ -292,6 +292,6 @@
         elif state.version < self._context.replica.get_version(state.kind, state.name):
             log_warning("replication:peer_is_behind", peer=channel.peer.vm)
 
-    async def _answer_fetch(self, channel, fetch):
+    async def _handle_fetch(self, channel, fetch):
         held = self._context.replica.get(fetch.kind, fetch.name)
         return held or Failure(Code.NOT_FOUND.value)
--- a/godwitlanding/daemons/services/requestexecutor.py
+++ b/godwitlanding/daemons/services/requestexecutor.py
@@ -122,7 +122,7 @@
             refusal = await active.guard.confirm()
             if refusal:
                 return Finished(refusal)
-            if not self._permits.book.may_dispatch(permit, loop.time()):
+            if not self._permits.held_permits.may_dispatch(permit, loop.time()):
                 return self._handle_expired_permit(request, loop.time())
             if not active.attempts.count:
                 self.policy.note_first_attempt(request.service.name, loop.time())
@@ -142,7 +142,9 @@
             refusal = await active.guard.confirm()
             if refusal:
                 return Finished(refusal)
-            attempt = await self._passer.pass_on(active.request, spill, active.sink)
+            attempt = await self._passer.forward_spill(
+                active.request, spill, active.sink
+            )
         finally:
             self._permits.end_spill(spill)
         if attempt.code and attempt.run == RUN_NO and not active.sink.started:
@@ -173,7 +175,7 @@
         crashes = self.policy.note_failure(active.request, failure, upstream, now)
         if crashes >= CRASHES_TO_STOP:
             fingerprint = active.request.fingerprint
-            self._passer.warn(Poison(fingerprint, upstream, crashes))
+            self._passer.broadcast_poison(Poison(fingerprint, upstream, crashes))
         if active.sink.started and not active.sink.resume:
             return Finished(make_refusal(attempt.code, 1.0, attempt.detail))
         decision = self.policy.decide(active.request, failure, active.attempts, now)
--- a/godwitlanding/daemons/services/passer.py
+++ b/godwitlanding/daemons/services/requestforwarder.py
@@ -17,11 +17,11 @@
 MAX_TARGETS = 2
 # All of today's VMs; in a larger fleet a sample, so that one bad request
 # costs no more than a few messages.
-MAX_WARNED = 32
+MAX_POISON_RECIPIENTS = 32
 STATE_LIVE = "live"
 
 
-class Passer(Service):
+class RequestForwarder(Service):
     """Forwards requests and meters the links between zones."""
 
     name = "passer"
@@ -31,7 +31,7 @@
         self._context = context
         self._counters = context.counters
         self._port = context.settings["entry_port"]
-        self._meter_by_zone = {}
+        self._limiter_by_zone = {}
         self._tasks = Tasks()
         self._bad_until_by_vm = {}
 
@@ -44,11 +44,13 @@
         """Drop warnings that are still under way."""
         await self._tasks.stop()
 
-    async def pass_on(self, request, spill, sink):
+    async def forward_spill(self, request, spill, sink):
         """Send to an entry VM of the spill's zone; return an ``Attempt``."""
         zone = spill.availability_zone
         end = min(spill.until, request.deadline)
-        attempt = _refuse(Code.PEER_UNREACHABLE, detail=f"no entry VM in {zone}")
+        attempt = _make_refused_result(
+            Code.PEER_UNREACHABLE, detail=f"no entry VM in {zone}"
+        )
         for row in self._list_targets(zone)[:MAX_TARGETS]:
             attempt = await self.forward(request, row, HOP, end, sink)
             if attempt.code is not Code.PEER_UNREACHABLE:
@@ -60,29 +62,37 @@
         loop = asyncio.get_running_loop()
         key = self._feed.view.get_ticket_key()
         if key is None:
-            return _refuse(Code.NOT_READY, detail="no key to sign with")
-        meter = self._get_meter(row.availability_zone)
-        if meter and not meter.may_send(loop.time(), len(request.body)):
-            wait_s = meter.get_retry_after_s(loop.time())
-            return _refuse(Code.LINK_LIMIT, wait_s)
+            return _make_refused_result(Code.NOT_READY, detail="no key to sign with")
+        limiter = self._get_link_limiter(row.availability_zone)
+        if limiter and not limiter.may_send(loop.time(), len(request.body)):
+            wait_s = limiter.get_retry_after_s(loop.time())
+            return _make_refused_result(Code.LINK_LIMIT, wait_s)
         zone = self._context.availability_zone
         depth = request.forward.depth + 1
-        mark = Forward(kind, zone, request.caller, request.id, depth)
+        signed_forward = Forward(kind, zone, request.caller, request.id, depth)
         target = f"/s/{request.service.name}{request.target}"
         headers = select_request_headers(request.headers)
-        headers += sign_forward(key, mark, request.method, target, request.key)
+        headers += sign_forward(
+            key, signed_forward, request.method, target, request.key
+        )
         headers.append((DEADLINE, f"{end - loop.time():.3f}"))
         before = sink.sent_bytes
         attempt = await self._upstreams.send(
-            request, f"{row.address}:{self._port}", target, headers, end, sink, _read
+            request,
+            f"{row.address}:{self._port}",
+            target,
+            headers,
+            end,
+            sink,
+            _read_refusal,
         )
-        if meter:
-            meter.note_bytes(sink.sent_bytes - before, loop.time())
+        if limiter:
+            limiter.note_bytes(sink.sent_bytes - before, loop.time())
         if attempt.code is Code.UPSTREAM_FAILED and attempt.run == RUN_NO:
-            return _refuse(Code.PEER_UNREACHABLE, detail=attempt.detail)
+            return _make_refused_result(Code.PEER_UNREACHABLE, detail=attempt.detail)
         return attempt
 
-    def warn(self, message):
+    def broadcast_poison(self, message):
         """Tell other entry processes of a request that crashes upstreams.
 
         Its caller tries another VM or zone next, which would lose two
@@ -91,7 +101,7 @@
         port = self._context.settings["entry_peer_port"]
         rows = [row for row in self._feed.view.get_vms() if row.state == STATE_LIVE]
         others = [row for row in rows if row.vm != self._context.vm]
-        for row in random.sample(others, min(len(others), MAX_WARNED)):
+        for row in random.sample(others, min(len(others), MAX_POISON_RECIPIENTS)):
             self._tasks.run(self._feed.pool.send(f"{row.address}:{port}", message))
 
     def _list_targets(self, zone):
@@ -103,7 +113,7 @@
         random.shuffle(rows)
         return rows
 
-    def _get_meter(self, zone):
+    def _get_link_limiter(self, zone):
         """Return the meter of the link to ``zone``; ``None`` for no limit.
 
         The text limits the link of the whole zone, over which each of its
@@ -116,19 +126,19 @@
             return None
         members = self._feed.view.get_members()
         count = max(1, sum(member.alive for member in members))
-        held = self._meter_by_zone.get(zone)
+        held = self._limiter_by_zone.get(zone)
         if held is None or held[0] != (link, count):
-            meter = LinkLimiter(link.requests_per_s / count, link.bytes_per_s / count)
-            held = ((link, count), meter)
-            self._meter_by_zone[zone] = held
+            limiter = LinkLimiter(link.requests_per_s / count, link.bytes_per_s / count)
+            held = ((link, count), limiter)
+            self._limiter_by_zone[zone] = held
         return held[1]
 
 
-def _refuse(code, retry_after_s=1.0, detail=""):
+def _make_refused_result(code, retry_after_s=1.0, detail=""):
     return AttemptResult(OUTCOME_FAILED, RUN_NO, code, detail, retry_after_s)
 
 
-def _read(status, headers):
+def _read_refusal(status, headers):
     """Return the ``Attempt`` of an entry process that refused.
 
     Its outcome is ``OUTCOME_UNUSED``, which tells a refusal that the other
--- a/godwitlanding/daemons/services/requests.py
+++ b/godwitlanding/daemons/services/requesthandler.py
@@ -23,7 +23,7 @@
 
 # A body up to this size is read whole before a permit is asked for, so a
 # slow upload holds no slot and the request can be sent again.
-WHOLE_BODY_BYTES = 262_144
+BUFFERED_BODY_BYTES = 262_144
 MAX_ID_CHARS = 64
 BUSY_RETRY_S = 1.0
 _SERVICE_PREFIX = re.compile(r"/s/[^/?]*")
@@ -37,7 +37,7 @@
 
     def __init__(self, context):
         self.is_leaving = False
-        self._began_at_by_id = {}
+        self._started_at_by_id = {}
         self._context = context
         self._counters = context.counters
         self._settings = context.settings
@@ -55,35 +55,35 @@
     def get_status(self):
         """Return how many requests are in progress and for how long."""
         now = asyncio.get_running_loop().time()
-        began_at = min(self._began_at_by_id.values(), default=now)
+        started_at = min(self._started_at_by_id.values(), default=now)
         return {
-            "in_progress": len(self._began_at_by_id),
-            "oldest_s": round(now - began_at, 3),
+            "in_progress": len(self._started_at_by_id),
+            "oldest_s": round(now - started_at, 3),
             "leaving": self.is_leaving,
         }
 
     async def __call__(self, scope, receive, send):
-        if len(self._began_at_by_id) >= self._settings["max_connections"]:
+        if len(self._started_at_by_id) >= self._settings["max_connections"]:
             detail = "this process has too many requests"
             refusal = make_refusal(Code.QUEUE_FULL, BUSY_RETRY_S, detail)
-            refusal = _qualify(refusal, scope)
+            refusal = _adjust_refusal(refusal, scope)
             await self._refuse(refusal, uuid.uuid4().hex, scope, receive, send)
             return
         key = id(scope)
-        self._began_at_by_id[key] = asyncio.get_running_loop().time()
+        self._started_at_by_id[key] = asyncio.get_running_loop().time()
         try:
             await self._handle(scope, receive, send)
         finally:
-            del self._began_at_by_id[key]
+            del self._started_at_by_id[key]
 
     async def _handle(self, scope, receive, send):
         request_id = uuid.uuid4().hex
         upload = RequestReader(receive, self._settings["max_body_bytes"])
-        read = await self._read(scope, upload, request_id)
+        read = await self._parse_request(scope, upload, request_id)
         if upload.is_gone:
             return
         if read.is_err():
-            refusal = _qualify(read.unwrap_err(), scope)
+            refusal = _adjust_refusal(read.unwrap_err(), scope)
             await self._refuse(refusal, request_id, scope, receive, send)
             return
         request = read.unwrap()
@@ -96,15 +96,15 @@
         )
         sink = ResponseWriter(send, request_id, lambda: self.is_leaving)
         try:
-            refusal = await self._run(request, sink)
+            refusal = await self._execute(request, sink)
         except asyncio.CancelledError:
-            refusal = self._explain_cancel(request, upload)
+            refusal = self._make_cancel_refusal(request, upload)
         finally:
             upload.end()
         if refusal:
-            await self._end(refusal, request, sink, scope, receive, send)
+            await self._refuse_or_cut(refusal, request, sink, scope, receive, send)
 
-    def _explain_cancel(self, request, upload):
+    def _make_cancel_refusal(self, request, upload):
         """Return the refusal for a request that its own caller ended."""
         if not (upload.is_gone or upload.is_too_large):
             raise asyncio.CancelledError
@@ -115,7 +115,7 @@
             return None
         return make_refusal(Code.BODY_TOO_LARGE, run=RUN_UNKNOWN)
 
-    async def _end(self, refusal, request, sink, scope, receive, send):
+    async def _refuse_or_cut(self, refusal, request, sink, scope, receive, send):
         if sink.started:
             # Returning without the last part closes the connection, so a
             # body that broke off cannot look complete.
@@ -142,7 +142,7 @@
             response.headers["Connection"] = "close"
         await response(scope, receive, send)
 
-    async def _read(self, scope, upload, request_id):
+    async def _parse_request(self, scope, upload, request_id):
         config = self._feed.view.get_config()
         if config is None:
             return Err(make_refusal(Code.NOT_READY, 1.0))
@@ -163,11 +163,13 @@
         if remaining.is_err():
             return remaining
         deadline = asyncio.get_running_loop().time() + remaining.unwrap()
-        fault = self._check_length(value_by_name)
-        body = b"" if fault else await upload.read_beginning(WHOLE_BODY_BYTES)
-        if fault or upload.is_too_large:
-            return Err(fault or make_refusal(Code.BODY_TOO_LARGE))
-        target = _strip(target)
+        length_refusal = self._check_length(value_by_name)
+        body = (
+            b"" if length_refusal else await upload.read_beginning(BUFFERED_BODY_BYTES)
+        )
+        if length_refusal or upload.is_too_large:
+            return Err(length_refusal or make_refusal(Code.BODY_TOO_LARGE))
+        target = _strip_service_prefix(target)
         return Ok(
             Request(
                 forward.request_id or request_id,
@@ -199,13 +201,13 @@
             return value_by_name["x-caller"][:MAX_ID_CHARS]
         return scope["client"][0] if scope.get("client") else ""
 
-    async def _run(self, request, sink):
+    async def _execute(self, request, sink):
         if request.needs_ticket:
             return await self._claims.run(request, sink)
         return await self._carrier.execute(request, sink)
 
 
-def _qualify(refusal, scope):
+def _adjust_refusal(refusal, scope):
     """Return what a refusal before any record was looked at may say.
 
     An earlier press of the same key may have run, here or elsewhere. A
@@ -247,7 +249,7 @@
     return raw.decode("ascii") if raw.isascii() and b"#" not in raw else None
 
 
-def _strip(target):
+def _strip_service_prefix(target):
     """Return what follows the service's name, which may be escaped."""
     match = _SERVICE_PREFIX.match(target)
     rest = target[match.end() :]
--- a/godwitlanding/daemons/services/routing.py
+++ b/godwitlanding/daemons/services/routing.py
@@ -41,9 +41,9 @@
         self._view = kernel.get("feed").view
         self._callers = kernel.get("callers")
         for state in self._context.replica.get_kind(SUMMARY_KIND):
-            self._take(state)
+            self._apply_state(state)
         self._rebuild()
-        self._context.replica.listen(self._take)
+        self._context.replica.listen(self._apply_state)
 
     def get_status(self):
         """Return the number of VMs that answers may name, by zone."""
@@ -130,15 +130,15 @@
         )
         return {z: w for z, w in weights.items() if is_open(z)}, neighbours
 
-    def _take(self, state):
+    def _apply_state(self, state):
         if state.kind == PLAN_KIND:
             self._ranking_by_key.clear()
         elif state.kind in _TARGET_KINDS:
             self._rebuild()
         elif state.kind == SUMMARY_KIND:
-            self._take_summary(state)
+            self._apply_summary(state)
 
-    def _take_summary(self, state):
+    def _apply_summary(self, state):
         try:
             leaving = parse_leaving_vms(state.body)
         except ValueError as error:
--- a/godwitlanding/daemons/services/summary.py
+++ b/godwitlanding/daemons/services/summary.py
@@ -47,7 +47,7 @@
         self._configuration = kernel.get("configuration")
         self._store = kernel.get("platform").store
         self._pool = kernel.get("peers").pool
-        self._replication.handle_kind(LOAD_KIND, self._take_load)
+        self._replication.handle_kind(LOAD_KIND, self._handle_load)
         self._tasks.repeat(self._context.settings["summary_s"], self._measure)
 
     async def stop(self):
@@ -56,7 +56,7 @@
 
     def get_status(self):
         """Return the loads that this member was told of."""
-        return {"sequence": self._sequence, "services": self._list_loads()}
+        return {"sequence": self._sequence, "services": self._get_recent_loads()}
 
     def _now(self):
         return asyncio.get_running_loop().time()
@@ -65,37 +65,44 @@
         if not self._members.is_settled():
             return
         now = self._now()
-        writer = self._replication.choose_reader()
+        writer = self._replication.choose_zone_writer()
         address = self._members.get_peer_addresses().get(writer)
-        for service, desk in self._arbitration.permit_server_by_service.items():
-            if not desk.active:
+        for (
+            service,
+            permit_server,
+        ) in self._arbitration.permit_server_by_service.items():
+            if not permit_server.active:
                 continue
-            body = json.dumps(self._make_row(service, desk, now)).encode()
+            body = json.dumps(self._make_row(service, permit_server, now)).encode()
             state = State(LOAD_KIND, service, 1, body)
             if writer == self._context.vm:
-                self._take_load(state)
+                self._handle_load(state)
             elif address:
                 self._tasks.run(self._pool.send(address, state))
         if writer == self._context.vm and self._configuration.config:
-            await self._write()
+            await self._write_summary()
 
-    def _make_row(self, service, desk, now):
-        status = desk.arbiter.get_status(now)
+    def _make_row(self, service, permit_server, now):
+        status = permit_server.arbiter.get_status(now)
         row = {
             "slots": status["slots"],
             "usable_slots": status["usable_slots"],
             "busy": status["busy"],
             "queued": status["queued"],
-            "warm_share": desk.get_warm_share(now),
+            "warm_share": permit_server.get_warm_share(now),
         }
-        before_at, before = self._counts_by_service.get(service, (now, desk.counts))
+        before_at, before = self._counts_by_service.get(
+            service, (now, permit_server.counts)
+        )
         elapsed_s = max(now - before_at, 0.001)
         for count, rate in RATE_BY_COUNT.items():
-            row[rate] = round((desk.counts[count] - before[count]) / elapsed_s, 3)
-        self._counts_by_service[service] = (now, dict(desk.counts))
+            row[rate] = round(
+                (permit_server.counts[count] - before[count]) / elapsed_s, 3
+            )
+        self._counts_by_service[service] = (now, dict(permit_server.counts))
         return row
 
-    def _take_load(self, state):
+    def _handle_load(self, state):
         try:
             row = json.loads(state.body)
         except ValueError as error:
@@ -103,7 +110,7 @@
             return
         self._load_by_service[state.name] = (self._now(), row)
 
-    def _list_loads(self):
+    def _get_recent_loads(self):
         # An arbiter that has died tells nothing more: its last word must
         # not stand for a measurement.
         max_age_s = self._context.settings["summary_max_age_s"]
@@ -114,7 +121,7 @@
             if now - at <= max_age_s
         }
 
-    async def _write(self):
+    async def _write_summary(self):
         zone = self._context.availability_zone
         self._sequence += 1
         body = json.dumps(
@@ -125,7 +132,7 @@
                 ),
                 "planner": self.planner_vm,
                 "plan_version": self._members.get_lowest_version("plan", "main"),
-                "services": self._list_loads(),
+                "services": self._get_recent_loads(),
             },
             sort_keys=True,
         ).encode()
@@ -138,9 +145,9 @@
         code = written.unwrap_err().code
         self._context.counters.add("summary_write_failed", code=code.name)
         if code is Code.VERSION_CONFLICT:
-            await self._read(zone)
+            await self._read_summary(zone)
 
-    async def _read(self, zone):
+    async def _read_summary(self, zone):
         read = await self._store.get(SUMMARY_KIND, zone)
         if read.is_ok():
             stored = read.unwrap()
--- a/godwitlanding/daemons/services/tickets.py
+++ b/godwitlanding/daemons/services/tickets.py
@@ -29,7 +29,7 @@
         self._view = kernel.get("feed").view
         self._routing = kernel.get("routing")
 
-    def answer(self, caller, service, path, was_sent):
+    def answer(self, caller, service, path, was_redirected):
         """Return a response, or the refusal why there is no ticket.
 
         ``was_sent`` tells that another zone sent the caller here.
@@ -38,7 +38,7 @@
         ranked = self._routing.rank_zones(caller, service, origin)
         # Two zones with different versions of the plan would send a caller
         # back and forth; the one that it was sent to issues the ticket.
-        other = "" if was_sent else self._find_other_steer(caller, ranked)
+        other = "" if was_redirected else self._find_redirect_url(caller, ranked)
         if other:
             self._context.counters.add("tickets_redirected", service=service)
             own = self._context.availability_zone
@@ -77,7 +77,7 @@
                 return member
         return None
 
-    def _find_other_steer(self, caller, ranked_zones):
+    def _find_redirect_url(self, caller, ranked_zones):
         """Return the URL of a steer of the planned zone, ``""`` for here."""
         own = self._context.availability_zone
         serving = (z for z in ranked_zones if self._routing.targets_by_zone.get(z))
--- a/godwitlanding/daemons/services/upstreams.py
+++ b/godwitlanding/daemons/services/upstreamclient.py
@@ -39,7 +39,7 @@
 CONNECTION_REFUSED = "connection refused"
 READ_BUFFER_BYTES = 65_536
 _TIMEOUT = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
-_SKIPPED = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+_SKIPPED_AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 
 class UpstreamClient(Service):
@@ -51,7 +51,7 @@
         self._context = context
         self._session = None
         self._fresh_session = None
-        self._echoes_by_address = {}
+        self._echoes_id_by_address = {}
 
     async def start(self, kernel):
         """Open the connection pools."""
@@ -104,7 +104,7 @@
         except TimeoutError:
             return AttemptResult(OUTCOME_TIMEOUT, RUN_UNKNOWN, Code.UPSTREAM_TIMEOUT)
         except (aiohttp.ClientError, OSError) as error:
-            return _explain_break(sink, repr(error))
+            return _make_disconnect_result(sink, repr(error))
 
     async def _exchange(self, request, address, target, headers, sink, read_refusal):
         if sink.started:
@@ -117,19 +117,19 @@
             headers=headers,
             data=_make_data(request),
             allow_redirects=False,
-            skip_auto_headers=_SKIPPED,
+            skip_auto_headers=_SKIPPED_AUTO_HEADERS,
         ) as response:
-            self._note_echo(address, request.id, response)
+            self._record_echo(address, request.id, response)
             refused = read_refusal(response.status, response.headers)
             if refused:
                 return refused
-            fault = _check(request, response, sink)
+            fault = _check_response(request, response, sink)
             if fault:
                 response.close()
                 return AttemptResult(
                     OUTCOME_FAILED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, fault
                 )
-            await _copy_answer(request, response, sink)
+            await _copy_response(request, response, sink)
             outcome = OUTCOME_FAILED if response.status >= 500 else OUTCOME_OK
             return AttemptResult(outcome, RUN_YES)
 
@@ -143,20 +143,20 @@
         non-idempotent work: a kept connection that closes while it is sent
         leaves its fate unknown.
         """
-        if request.is_idempotent and self._echoes_by_address.get(address):
+        if request.is_idempotent and self._echoes_id_by_address.get(address):
             return self._session
         return self._fresh_session
 
-    def _note_echo(self, address, request_id, response):
+    def _record_echo(self, address, request_id, response):
         echoed_id = response.headers.get(UPSTREAM_REQUEST_ID)
         if echoed_id is not None and echoed_id != request_id:
             self._context.counters.add("answers_mixed_up", upstream=address)
-            self._echoes_by_address[address] = False
+            self._echoes_id_by_address[address] = False
         else:
-            self._echoes_by_address.setdefault(address, echoed_id is not None)
+            self._echoes_id_by_address.setdefault(address, echoed_id is not None)
 
 
-def _explain_break(sink, detail):
+def _make_disconnect_result(sink, detail):
     """Return the ``Attempt`` of a connection that broke.
 
     One that gave no whole answer counts as a crash, for which the request
@@ -192,7 +192,7 @@
     return stream()
 
 
-def _check(request, response, sink):
+def _check_response(request, response, sink):
     fault = check_head(request, response.status, response.headers)
     if fault or not sink.started:
         return fault
@@ -201,7 +201,7 @@
     )
 
 
-async def _copy_answer(request, response, sink):
+async def _copy_response(request, response, sink):
     headers = select_response_headers(response.headers.items())
     length = read_length(response.headers)
     # A short answer is read whole first: the slot is free without waiting
--- a/godwitlanding/entry.py
+++ b/godwitlanding/entry.py
@@ -12,18 +12,18 @@
 from godwitlanding.base.store import HttpStore
 from godwitlanding.base.web import HttpServer, make_status_routes
 from godwitlanding.daemons import daemon
+from godwitlanding.daemons.services.claimrunner import ClaimRunner
 from godwitlanding.daemons.services.claims import ClaimService
 from godwitlanding.daemons.services.entryshutdown import EntryShutdown
 from godwitlanding.daemons.services.feed import Feed
 from godwitlanding.daemons.services.holder import HolderServer
 from godwitlanding.daemons.services.idempotencykeys import IdempotencyKeyService
 from godwitlanding.daemons.services.journal import JournalWriter
-from godwitlanding.daemons.services.once import OnceRunner
-from godwitlanding.daemons.services.passer import Passer
-from godwitlanding.daemons.services.permits import PermitClient
+from godwitlanding.daemons.services.permitclient import PermitClient
 from godwitlanding.daemons.services.requestexecutor import RequestExecutor
-from godwitlanding.daemons.services.requests import RequestHandler
-from godwitlanding.daemons.services.upstreams import UpstreamClient
+from godwitlanding.daemons.services.requestforwarder import RequestForwarder
+from godwitlanding.daemons.services.requesthandler import RequestHandler
+from godwitlanding.daemons.services.upstreamclient import UpstreamClient
 
 ROLE = "entry"
 DESCRIPTION = "Forward requests: permit, dispatch, bounded retry, response."
@@ -52,9 +52,9 @@
         feed,
         PermitClient(context),
         UpstreamClient(context),
-        Passer(context),
+        RequestForwarder(context),
         RequestExecutor(context),
-        OnceRunner(context),
+        ClaimRunner(context),
         JournalWriter(context, store),
         IdempotencyKeyService(context, store),
         ClaimService(context),
--- a/godwitlanding/tests/benchmarks/bench_loans.py
+++ b/godwitlanding/tests/benchmarks/bench_loans.py
@@ -12,7 +12,7 @@
 import sys
 
 from godwitlanding.tests.benchmarks.measure import format_table
-from godwitlanding.tests.daemons.zone_world import World
+from godwitlanding.tests.daemons.zone_simulation import ZoneSimulation
 
 SEEDS = 20
 WINDOW_S = 10.0
@@ -22,8 +22,8 @@
 
 def make_world(is_split, is_skewed, seed):
     """Return a zone in use."""
-    world = World(upstreams=3, slots=2, seed=seed)
-    world.finish_share = FINISH_SHARE
+    world = ZoneSimulation(upstreams=3, slots=2, seed=seed)
+    world.finish_probability = FINISH_SHARE
     if is_split:
         for vm, node in world.node_by_vm.items():
             node.zone.forced_arbiter = vm
@@ -53,9 +53,9 @@
 
 def cut(world):
     """Cut the first member off from the two others."""
-    world.cuts = {frozenset(("vm0", vm)) for vm in ("vm1", "vm2")}
+    world.partitions = {frozenset(("vm0", vm)) for vm in ("vm1", "vm2")}
     world.run(FAULT_S)
-    world.cuts = set()
+    world.partitions = set()
     world.run(WINDOW_S - FAULT_S)
 
 
@@ -75,8 +75,8 @@
         before = world.started
         fault(world)
         started += world.started - before
-        if world.over_slots:
-            raise RuntimeError(f"slots exceeded: {world.over_slots}")
+        if world.slot_violations:
+            raise RuntimeError(f"slots exceeded: {world.slot_violations}")
     return started
 
 
--- a/godwitlanding/tests/benchmarks/zones.py
+++ b/godwitlanding/tests/benchmarks/zones.py
@@ -13,8 +13,8 @@
 from godwitlanding.base.settings import check_settings
 from godwitlanding.daemons.daemon import make_context
 from godwitlanding.daemons.services.configuration import Configuration
-from godwitlanding.daemons.services.links import Listener, Peers
 from godwitlanding.daemons.services.members import Members
+from godwitlanding.daemons.services.peerconnections import Listener, Peers
 from godwitlanding.daemons.services.platform import Platform
 from godwitlanding.daemons.services.replication import Replication
 from godwitlanding.tests.support import FakeStore
--- a/godwitlanding/tests/daemons/test_chaos.py
+++ b/godwitlanding/tests/daemons/test_chaos.py
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize("seed", [9])
-async def test_schedule_holds(seed, tmp_path):
+async def test_fault_schedule_passes(seed, tmp_path):
     """Two things at a time break under load, three times in a row.
 
     Seed 9: a daemon that had been started again told callers "not run" of
--- a/godwitlanding/tests/daemons/test_permitserver.py
+++ b/godwitlanding/tests/daemons/test_permitserver.py
@@ -12,9 +12,9 @@
 )
 from godwitlanding.daemons.borrower import BorrowedUpstream
 from godwitlanding.tests.daemons.zone_processes import (
-    make_desk as make_zone_server,
+    make_zone_permit_server as make_zone_server,
 )
-from godwitlanding.tests.daemons.zone_world import World
+from godwitlanding.tests.daemons.zone_simulation import ZoneSimulation
 
 HOLDER = Holder("vm1", "vm1-entry-1")
 OTHER = Holder("vm2", "vm2-entry-1")
@@ -97,9 +97,9 @@
 
 
 def cut_zone(world):
-    world.cuts = {frozenset(("vm0", "vm1")), frozenset(("vm0", "vm2"))}
+    world.partitions = {frozenset(("vm0", "vm1")), frozenset(("vm0", "vm2"))}
     world.run(6)
-    world.cuts = set()
+    world.partitions = set()
 
 
 def lose_vm(world):
@@ -136,15 +136,15 @@
     Its upstreams must never run more requests than slots, and every
     upstream must serve callers again.
     """
-    world = World(seed=seed)
-    world.finish_share = 0.02
+    world = ZoneSimulation(seed=seed)
+    world.finish_probability = 0.02
     world.run(5)
     fault(world)
     world.run(12)
     before = world.started
     busy = {key[1]: r.upstream for key, r in world.running_by_permit.items()}
     world.run(5)
-    assert world.over_slots == []
+    assert world.slot_violations == []
     assert world.started > before
     assert set(busy.values()) == set(world.slots_by_upstream)
 
--- a/godwitlanding/tests/daemons/test_processes.py
+++ b/godwitlanding/tests/daemons/test_processes.py
@@ -15,7 +15,7 @@
 from godwitlanding.tests.tools.cluster import ROLES, Cluster, wait_until
 from godwitlanding.tests.tools.network import claim_test_network
 
-TEXT = (Path(__file__).parents[1] / "data/small.json5").read_text()
+CONFIG_TEXT = (Path(__file__).parents[1] / "data/small.json5").read_text()
 RATES = (Rate("status", 40.0), Rate("renewal", 12.0), Rate("passes", 4.0))
 SERVICES = tuple(rate.service for rate in RATES)
 LIMIT_S = 60.0
@@ -23,11 +23,11 @@
 VM = "north-a-1"
 
 
-class Run:
+class LoadedCluster:
     """A cluster with load on it."""
 
     def __init__(self, network, directory):
-        self.cluster = Cluster(TEXT, network, log_directory=directory)
+        self.cluster = Cluster(CONFIG_TEXT, network, log_directory=directory)
         self.load = None
 
     async def start(self):
@@ -69,12 +69,12 @@
 
 @pytest.fixture
 async def run(network, tmp_path):
-    made = Run(network, tmp_path)
+    loaded_cluster = LoadedCluster(network, tmp_path)
     try:
-        await made.start()
-        yield made
+        await loaded_cluster.start()
+        yield loaded_cluster
     finally:
-        await made.cluster.stop()
+        await loaded_cluster.cluster.stop()
 
 
 async def test_killed_arbiter_is_replaced(run):
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("roles", [("zone",), ("entry",), ("zone", "entry")])
-async def test_paused_daemons_go_on_believing(run, roles):
+async def test_resumed_daemons_exceed_no_slots_and_repeat_no_work(run, roles):
     """A VM is paused for longer than its loans and permits last.
 
     When it goes on it still believes that it may grant and dispatch; an
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("outage", ["refuse", "hang"])
-async def test_platform_outage_leaves_callers_served(run, outage):
+async def test_callers_are_served_during_a_platform_outage(run, outage):
     """The platform is away while payments are made.
 
     Payments that were begun before are settled, new ones are taken on
@@ -122,7 +122,7 @@
     assert verdict.faults == ()
 
 
-async def test_zone_cut_off_from_the_platform_goes_on(run, tmp_path):
+async def test_zone_without_the_platform_keeps_serving(run, tmp_path):
     """One zone loses its way to the platform; a change is applied meanwhile.
 
     Its callers are served by its own upstreams, payments included, and the
@@ -131,11 +131,11 @@
     cluster = run.cluster
     await cluster.cut_from_platform("north-a")
 
-    async def is_noticed():
+    async def is_detected():
         status = await cluster.get_status(VM, "zone")
         return not status["services"]["members"]["platform_reachable"]
 
-    await wait_until(is_noticed, LIMIT_S, "the zone to notice that it is cut off")
+    await wait_until(is_detected, LIMIT_S, "the zone to notice that it is cut off")
     path = tmp_path / "newer.json5"
     path.write_text(cluster.text.replace("work_s: 0.04", "work_s: 0.041"))
     await cluster.run_ctl("apply", str(path), "--yes")
@@ -150,7 +150,7 @@
     assert verdict.faults == ()
 
 
-async def test_lost_answers_of_the_journal(run):
+async def test_lost_responses_to_journal_writes(run):
     """The platform does writes of the journal and loses the answers.
 
     A payment that is sent again because its claim seemed to have failed
@@ -169,22 +169,22 @@
     assert run.load.tally.count("unknown") == 0
 
 
-DRAINS = {
+SWITCHES_BY_SIGN = {
     "its own word": {"draining": True},
     "its health alone": {"draining": True, "refuses_when_draining": False},
 }
 
 
-@pytest.mark.parametrize("sign", ["operators' text", *DRAINS])
-async def test_draining_upstream_gets_nothing_new(run, sign):
+@pytest.mark.parametrize("sign", ["operators' text", *SWITCHES_BY_SIGN])
+async def test_draining_upstream_gets_no_new_requests(run, sign):
     """An upstream is to be stopped, and one source alone says so.
 
     Work that goes on being sent there would be cut off when it stops.
     """
     upstream_id = "status-a-1"
-    switches = DRAINS.get(sign)
+    switches = SWITCHES_BY_SIGN.get(sign)
     if switches is None:
-        switches = {**DRAINS["its health alone"], "health": "always_ok"}
+        switches = {**SWITCHES_BY_SIGN["its health alone"], "health": "always_ok"}
         await run.cluster.run_ctl("drain", "upstream", upstream_id, "--yes")
     await run.cluster.standins.change_upstream(upstream_id, **switches)
 
@@ -192,12 +192,12 @@
         stats = (await run.cluster.standins.get_upstream_stats())[upstream_id]
         return stats["begun"] + stats["refused_draining"]
 
-    async def is_quiet():
+    async def gets_no_requests():
         before = await count_sent()
         await run.serve(1.0, ("status",))
         return await count_sent() == before
 
-    await wait_until(is_quiet, LIMIT_S, "the upstream to get nothing new")
+    await wait_until(gets_no_requests, LIMIT_S, "the upstream to get nothing new")
     before = await count_sent()
     await run.serve(3.0, ("status",))
     assert await count_sent() == before
@@ -205,7 +205,7 @@
     assert verdict.faults == ()
 
 
-async def test_request_that_crashes_upstreams_is_stopped(run):
+async def test_poison_request_is_rejected_after_two_crashes(run):
     """A request crashes each upstream that runs it; its caller sends it again.
 
     Sent on, it would take down one licensed copy after the other, and with
@@ -221,7 +221,7 @@
     assert verdict.faults == ()
 
 
-async def test_planned_stop_cuts_nothing(run):
+async def test_planned_stop_interrupts_no_request(run):
     """An entry VM is stopped as planned under load, downloads included.
 
     Callers that still hold an answer which names it must not meet a closed
@@ -254,7 +254,7 @@
     assert verdict.faults == ()
 
 
-async def test_two_operators_at_once(run, tmp_path):
+async def test_concurrent_applies_conflict(run, tmp_path):
     """Two operators apply different texts that were based on one version.
 
     One is told that it came second; the other's text is in force on every
@@ -272,7 +272,7 @@
     assert sorted(codes) == [0, 4]
 
 
-async def test_restored_platform_changes_nothing(run, tmp_path):
+async def test_older_platform_backup_does_not_revert_the_configuration(run, tmp_path):
     """The platform comes back from a backup that is older than the text.
 
     A change that operators saw in force would disappear.
--- a/godwitlanding/tests/daemons/test_shift.py
+++ b/godwitlanding/tests/daemons/test_shift.py
@@ -16,12 +16,12 @@
 CALLERS = 200
 LIMIT_S = 90.0
 POLL_S = 0.5
-LOOKS_AFTER = 4
+SAMPLES_AFTER_ARRIVAL = 4
 # So few callers do not split exactly as the weights say.
 SAMPLING_ERROR = 0.08
 
 
-class Survey:
+class OriginSurvey:
     """Asks where the callers of one zone are told to go."""
 
     def __init__(self, url, session):
@@ -47,8 +47,10 @@
     async def measure(self, zone):
         """Return the share of the callers whose first choice is in a zone."""
         answers = await asyncio.gather(*(self.ask(name) for name in self.callers))
-        firsts = [answer["choices"][0]["availability_zone"] for answer in answers]
-        return firsts.count(zone) / len(firsts)
+        first_choices = [
+            answer["choices"][0]["availability_zone"] for answer in answers
+        ]
+        return first_choices.count(zone) / len(first_choices)
 
 
 async def test_shift_moves_callers_by_capped_steps(tmp_path):
@@ -69,30 +71,30 @@
         await cluster.start()
         async with aiohttp.ClientSession() as session:
             url = cluster.get_url("north-b-1", "steer") + "/v1/steer/status"
-            survey = Survey(url, session)
+            survey = OriginSurvey(url, session)
             await survey.find_callers("north-a")
             assert await survey.measure("south-a") == 0.0
-            words = "--service status --from north-a --to south-a --share 0.5"
-            words += f" --cap-share {CAP_SHARE} --step {STEP_S} --yes"
-            await cluster.run_ctl("shift", "move", *words.split())
-            seen = await follow(survey)
+            options = "--service status --from north-a --to south-a --share 0.5"
+            options += f" --cap-share {CAP_SHARE} --step {STEP_S} --yes"
+            await cluster.run_ctl("shift", "move", *options.split())
+            samples = await follow(survey)
     finally:
         await cluster.stop()
-    assert max(share for _, share in seen) <= SHARE + SAMPLING_ERROR
-    for (before_at, before), (at, share) in itertools.pairwise(seen):
+    assert max(share for _, share in samples) <= SHARE + SAMPLING_ERROR
+    for (before_at, before), (at, share) in itertools.pairwise(samples):
         # On a busy machine more than one step may fall between two looks.
         steps = 1 + (at - before_at) // STEP_S
-        assert share - before <= steps * CAP_SHARE + SAMPLING_ERROR, seen
+        assert share - before <= steps * CAP_SHARE + SAMPLING_ERROR, samples
 
 
 async def follow(survey):
     """Return times and shares as seen until the shift has arrived."""
     loop = asyncio.get_running_loop()
-    seen = [(loop.time(), 0.0)]
-    rest = LOOKS_AFTER
+    samples = [(loop.time(), 0.0)]
+    rest = SAMPLES_AFTER_ARRIVAL
     async with asyncio.timeout(LIMIT_S):
         while rest:
             await asyncio.sleep(POLL_S)
-            seen.append((loop.time(), await survey.measure("south-a")))
-            rest -= seen[-1][1] >= SHARE - SAMPLING_ERROR
-    return seen
+            samples.append((loop.time(), await survey.measure("south-a")))
+            rest -= samples[-1][1] >= SHARE - SAMPLING_ERROR
+    return samples
--- a/godwitlanding/tests/daemons/test_steer.py
+++ b/godwitlanding/tests/daemons/test_steer.py
@@ -91,7 +91,7 @@
     }
 
 
-async def test_caller_cannot_name_itself_by_a_proxys_header():
+async def test_x_forwarded_for_from_a_caller_is_ignored():
     """A caller sends X-Forwarded-For though no proxy stands before us.
 
     Believed, it would be served as somebody else and at that one's cost.
@@ -134,7 +134,7 @@
 )
 
 
-class Steer:
+class SteerHarness:
     """A steer process's services, fed by hand."""
 
     def __init__(self):
@@ -161,14 +161,14 @@
 
 @pytest.fixture
 async def steer():
-    steer = Steer()
+    steer = SteerHarness()
     await steer.kernel.start()
     async with aiohttp.ClientSession() as steer.session:
         yield steer
     await steer.kernel.stop()
 
 
-async def test_caller_is_told_where_to_go(steer):
+async def test_lookup_returns_ordered_targets(steer):
     steer.offer(*BASE_STATES)
     response, body = await steer.ask("/v1/steer/status")
     assert response.status == 200
@@ -193,7 +193,7 @@
         (BASE_STATES, "/v1/tickets/nothing", "POST", 404, "UNKNOWN_SERVICE"),
     ],
 )
-async def test_refusals_are_numbered(steer, states, path, method, status, name):
+async def test_refusals_have_a_code(steer, states, path, method, status, name):
     steer.offer(*states)
     response, body = await steer.ask(path, method)
     assert response.status == status
@@ -203,7 +203,7 @@
     assert steer.context.counters.get("steer_refused", code=name) == 1
 
 
-async def test_new_plan_is_in_the_next_answer(steer):
+async def test_new_plan_is_used_by_the_next_response(steer):
     steer.offer(*BASE_STATES)
     assert (await steer.ask("/v1/steer/status"))[1]["choices"][0]["vm"][0] == "a"
     steer.offer(make_plan({"zb": 1.0}, version=2))
@@ -279,7 +279,7 @@
         assert response.headers["Location"] == expected
 
 
-async def test_stopping_vm_leaves_the_answers_first(steer):
+async def test_stopping_vm_is_left_out_of_responses(steer):
     """A VM is stopped while callers keep asking it where to go.
 
     Named in an answer it would be found gone a moment later.
@@ -315,7 +315,7 @@
     assert (held.version, held.body) == (1, b"")
 
 
-async def test_half_loaded_blocks_answer_nobody(steer):
+async def test_incomplete_blocks_are_not_used(steer):
     """A new VM has some of the blocks when callers begin to ask it.
 
     Answered now, a listed caller would be sent to the zone of a hash and
@@ -330,7 +330,7 @@
     assert (await steer.ask("/-/health"))[0].status == 200
 
 
-async def test_planned_stop_cuts_no_look_up(steer):
+async def test_planned_stop_interrupts_no_lookup(steer):
     """The process is stopped while callers ask it without a pause.
 
     Each is answered, by another VM's name, until nobody listens any more;
--- a/godwitlanding/tests/daemons/test_zone.py
+++ b/godwitlanding/tests/daemons/test_zone.py
@@ -15,7 +15,7 @@
 UPSTREAMS = ("s-1", "s-2", "s-3", "s-4", "s-5", "s-6")
 
 
-def make_text(drains="", comment=""):
+def make_config_text(drains="", comment=""):
     upstreams = ",".join(
         f'{{id:"{name}",address:"10.0.1.{n}:1",availability_zone:"a",slots:1}}'
         for n, name in enumerate(UPSTREAMS)
@@ -30,9 +30,9 @@
 
 
 @asynccontextmanager
-async def run_zone(vms=VMS, **keywords):
-    zone = MemoryZone(vms, **keywords)
-    (await zone.store.put("config", "main", make_text(), 0)).unwrap()
+async def run_zone(vms=VMS, **options):
+    zone = MemoryZone(vms, **options)
+    (await zone.store.put("config", "main", make_config_text(), 0)).unwrap()
     await zone.start()
     await asyncio.sleep(5)
     try:
@@ -41,13 +41,13 @@
         await zone.stop()
 
 
-async def change_text(zone, text):
+async def change_config_text(zone, text):
     held = (await zone.store.get("config", "main")).unwrap()
     return (await zone.store.put("config", "main", text, held.version)).unwrap()
 
 
-def get_arbiter(zone, asked_by=None):
-    daemon = asked_by or next(iter(zone.daemon_by_vm.values()))
+def get_arbiter(zone, viewer=None):
+    daemon = viewer or next(iter(zone.daemon_by_vm.values()))
     vm = daemon.get("members").get_arbiters()["status"][0]
     return zone.daemon_by_vm[vm]
 
@@ -74,7 +74,7 @@
 async def test_change_reaches_every_process_by_two_watchers():
     """A change is accepted; only two members read the platform for it."""
     async with run_zone() as zone:
-        version = await change_text(zone, make_text(comment="new"))
+        version = await change_config_text(zone, make_config_text(comment="new"))
         await asyncio.sleep(0.1)
         for daemon in zone.daemon_by_vm.values():
             for replica in (daemon.context.replica, daemon.entry_context.replica):
@@ -106,11 +106,11 @@
             assert isinstance(await acquire(daemon, get_arbiter(zone), 1), Granted)
 
 
-async def test_older_platform_is_refused_and_shown():
+async def test_older_platform_state_is_rejected_and_reported():
     """The platform is restored from a backup and offers an older text."""
     async with run_zone(("vm1", "vm2")) as zone:
         backup = zone.store.objects.take_snapshot()
-        version = await change_text(zone, make_text(comment="new"))
+        version = await change_config_text(zone, make_config_text(comment="new"))
         await asyncio.sleep(1)
         zone.store.objects.restore(backup)
         await asyncio.sleep(3)
@@ -120,12 +120,12 @@
             assert "config/main" in status["older_on_platform"]
 
 
-def drain_by_text(zone, arbiter):
-    text = make_text('{what:"upstream",name:"s-1"}')
-    return change_text(zone, text)
+def drain_by_configuration(zone, arbiter):
+    text = make_config_text('{what:"upstream",name:"s-1"}')
+    return change_config_text(zone, text)
 
 
-async def drain_by_word(zone, arbiter):
+async def drain_by_signal(zone, arbiter):
     message = Signal("s-1", "draining")
     await arbiter.entry_pool.send(arbiter.own_address, message)
 
@@ -135,8 +135,10 @@
     health.note_probe("s-1", "draining", asyncio.get_running_loop().time())
 
 
-@pytest.mark.parametrize("drain", [drain_by_text, drain_by_word, drain_by_probe])
-async def test_leaving_upstream_gets_nothing_new(drain):
+@pytest.mark.parametrize(
+    "drain", [drain_by_configuration, drain_by_signal, drain_by_probe]
+)
+async def test_leaving_upstream_gets_no_new_permits(drain):
     """An upstream leaves; the first of three sources that says so counts."""
     async with run_zone() as zone:
         arbiter = get_arbiter(zone)
@@ -156,13 +158,13 @@
         del zone.daemon_by_vm[arbiter.vm]
         await arbiter.kill()
         await asyncio.sleep(6)
-        heir = get_arbiter(zone)
-        assert heir is not arbiter
-        granted = await acquire(heir, heir, 1)
+        new_arbiter = get_arbiter(zone)
+        assert new_arbiter is not arbiter
+        granted = await acquire(new_arbiter, new_arbiter, 1)
         assert isinstance(granted, Granted)
 
 
-async def test_stopped_daemon_gives_everything_away_first():
+async def test_stopping_daemon_hands_over_its_upstreams():
     """A VM is stopped as planned: its slots stay in use without a pause."""
     async with run_zone() as zone:
         arbiter = get_arbiter(zone)
@@ -171,28 +173,28 @@
         await asyncio.sleep(1)
         roster = next(iter(zone.daemon_by_vm.values())).get("lending").get_owners()
         assert arbiter.vm not in roster
-        heir = get_arbiter(zone)
-        calls = (acquire(heir, heir, n) for n in range(len(UPSTREAMS)))
+        new_arbiter = get_arbiter(zone)
+        calls = (acquire(new_arbiter, new_arbiter, n) for n in range(len(UPSTREAMS)))
         answers = await asyncio.gather(*calls)
         assert sorted(a.upstream for a in answers) == sorted(UPSTREAMS)
 
 
-async def test_member_without_peers_keeps_its_own_upstreams():
+async def test_isolated_member_keeps_its_own_upstreams():
     """A member is cut off from its zone: nobody else uses its upstreams."""
     async with run_zone() as zone:
         daemons = list(zone.daemon_by_vm.values())
-        alone = daemons[0]
-        own = set(alone.get("lending").get_status()["loan_by_upstream"])
+        isolated = daemons[0]
+        own = set(isolated.get("lending").get_status()["loan_by_upstream"])
         for other in daemons[1:]:
-            zone.network.cuts.add(frozenset((alone.vm, other.vm)))
+            zone.network.cuts.add(frozenset((isolated.vm, other.vm)))
         await asyncio.sleep(8)
         answers = await asyncio.gather(
-            *(acquire(alone, alone, n) for n in range(len(own)))
+            *(acquire(isolated, isolated, n) for n in range(len(own)))
         )
         assert {a.upstream for a in answers if isinstance(a, Granted)} == own
-        heir = get_arbiter(zone, daemons[1])
+        new_arbiter = get_arbiter(zone, daemons[1])
         answers = await asyncio.gather(
-            *(acquire(daemons[1], heir, n) for n in range(len(UPSTREAMS)))
+            *(acquire(daemons[1], new_arbiter, n) for n in range(len(UPSTREAMS)))
         )
         granted = {a.upstream for a in answers if isinstance(a, Granted)}
         assert granted == set(UPSTREAMS) - own
@@ -221,7 +223,7 @@
         assert plan is not None
 
 
-async def test_secret_is_made_once():
+async def test_ticket_secret_is_created_once():
     async with run_zone(("vm1", "vm2")) as zone:
         keys = {
             daemon.context.replica.get("secret", "ticket").body
@@ -236,12 +238,12 @@
     That zone's next arbiter would not know whom to ask for the permit.
     """
     async with run_zone(zone_by_vm={"vm3": "b", "vm4": "b"}) as zone:
-        stranger = zone.daemon_by_vm["vm3"]
-        answer = await acquire(stranger, get_arbiter(zone), 1)
+        foreign_daemon = zone.daemon_by_vm["vm3"]
+        answer = await acquire(foreign_daemon, get_arbiter(zone), 1)
         assert not isinstance(answer, Granted)
 
 
-async def test_holder_that_has_ended_is_forgotten_by_every_service():
+async def test_ended_holder_is_removed_from_every_service():
     """An entry process that used two services ends.
 
     Still named to owners, it would be asked at each take-over and hold the
@@ -261,7 +263,7 @@
             assert desk.borrower.make_loan("vm9", 0.0).holders == ()
 
 
-async def test_zone_writes_on_when_the_platform_was_restored_from_an_older_copy():
+async def test_zone_keeps_writing_after_a_platform_restore():
     # Its writes were made on versions that the platform had lost.
     async with run_zone(("vm1", "vm2")) as zone:
         await asyncio.sleep(3)
@@ -279,17 +281,17 @@
             assert held.body != former.value
 
 
-async def test_text_that_is_applied_after_a_restoration_is_in_force_at_once():
+async def test_configuration_applied_after_a_restore_takes_effect_at_once():
     # Its version was one that the daemons had seen before.
     async with run_zone(("vm1", "vm2")) as zone:
         copy = zone.store.objects.take_snapshot()
         for number in range(5):
-            await change_text(zone, make_text(comment=f"lost {number}"))
+            await change_config_text(zone, make_config_text(comment=f"lost {number}"))
         await asyncio.sleep(1)
         zone.store.objects.restore(copy)
         await asyncio.sleep(3)
-        text = make_text(comment="new")
-        await change_text(zone, text)
+        text = make_config_text(comment="new")
+        await change_config_text(zone, text)
         await asyncio.sleep(1)
         for daemon in zone.daemon_by_vm.values():
             assert daemon.context.replica.get("config", "main").body == text
--- a/godwitlanding/tests/daemons/zone_world.py
+++ b/godwitlanding/tests/daemons/zone_simulation.py
@@ -10,15 +10,15 @@
 
 from godwitlanding.daemons.roster import EMPTY_ROSTER
 from godwitlanding.tests.daemons.zone_processes import (
-    BEAT_STEPS,
-    LIST_LAG_S,
+    HEARTBEAT_STEPS,
     STEP_S,
+    VM_LIST_LAG_S,
     EntryProcess,
     ZoneProcess,
 )
 
 
-class Platform:
+class FakePlatform:
     """The roster object, with outages and lost answers."""
 
     def __init__(self):
@@ -45,33 +45,33 @@
         self.entry = entry
 
 
-class World:
+class ZoneSimulation:
     """Time, messages, VMs and upstreams of one zone."""
 
     def __init__(self, vms=3, upstreams=3, slots=1, seed=0):
         self.now = 100.0
         self.rng = random.Random(seed)
-        self.platform = Platform()
+        self.platform = FakePlatform()
         self.slots_by_upstream = {f"u{i}": slots for i in range(upstreams)}
         self.node_by_vm = {}
         self.removed_at_by_vm = {}
-        self.cuts = set()
-        self.cut_off = set()
-        self.hold_back_s = 0.0
-        self.flap = 0.0
-        self.finish_share = 0.1
+        self.partitions = set()
+        self.vms_without_platform = set()
+        self.max_extra_delay_s = 0.0
+        self.flap_probability = 0.0
+        self.finish_probability = 0.1
         self.running_by_permit = {}
         self.started = 0
-        self.over_slots = []
-        self._flying = []
-        self._number = 0
+        self.slot_violations = []
+        self._in_flight = []
+        self._last_number = 0
         self._steps = 0
         for index in range(vms):
             self.add_vm(f"vm{index}")
 
     def next_number(self):
-        self._number += 1
-        return self._number
+        self._last_number += 1
+        return self._last_number
 
     def add_vm(self, vm):
         zone = ZoneProcess(self, vm, self.next_number())
@@ -88,24 +88,24 @@
         kinds = {"zone": ZoneProcess, "entry": EntryProcess}
         setattr(self.node_by_vm[vm], role, kinds[role](self, vm, self.next_number()))
 
-    def list_gone(self):
+    def list_gone_vms(self):
         return [
             vm
             for vm, at in self.removed_at_by_vm.items()
-            if self.now - at >= LIST_LAG_S
+            if self.now - at >= VM_LIST_LAG_S
         ]
 
     def list_owners(self, roster):
         return sorted(set(roster.owner_by_upstream.values()))
 
     def send(self, sender, receiver, role, deliver):
-        if frozenset((sender, receiver)) in self.cuts:
+        if frozenset((sender, receiver)) in self.partitions:
             return
         delay_s = 0.0 if sender == receiver else self.rng.uniform(0.001, 0.02)
-        if self.hold_back_s and self.rng.random() < 0.3:
-            delay_s += self.rng.uniform(0.0, self.hold_back_s)
+        if self.max_extra_delay_s and self.rng.random() < 0.3:
+            delay_s += self.rng.uniform(0.0, self.max_extra_delay_s)
         due = self.now + delay_s
-        self._flying.append((due, self.next_number(), receiver, role, deliver))
+        self._in_flight.append((due, self.next_number(), receiver, role, deliver))
 
     def start(self, key, running):
         """An upstream begins a request: count as the licence does."""
@@ -113,7 +113,7 @@
         self.running_by_permit[key] = running
         busy = self.count_busy(running.upstream)
         if busy > self.slots_by_upstream[running.upstream]:
-            self.over_slots.append((self.now, running.upstream, busy))
+            self.slot_violations.append((self.now, running.upstream, busy))
 
     def count_busy(self, upstream):
         return sum(
@@ -129,9 +129,9 @@
             self._deliver()
             for index, vm in enumerate(sorted(self.node_by_vm)):
                 node = self.node_by_vm[vm]
-                beats = (self._steps + index) % BEAT_STEPS == 0
+                is_heartbeat_step = (self._steps + index) % HEARTBEAT_STEPS == 0
                 if node.zone and not node.zone.paused:
-                    if beats:
+                    if is_heartbeat_step:
                         node.zone.tick()
                     else:
                         node.zone.desk.tick(self.now)
@@ -141,21 +141,21 @@
 
     def _deliver(self):
         while True:
-            due = [m for m in self._flying if m[0] <= self.now]
-            ready = [m for m in due if self._can_take(m)]
+            due = [m for m in self._in_flight if m[0] <= self.now]
+            ready = [m for m in due if self._can_deliver(m)]
             if not ready:
                 break
             for message in sorted(ready, key=lambda m: m[:2]):
-                self._flying.remove(message)
-                process = self._find(message[2], message[3])
+                self._in_flight.remove(message)
+                process = self._find_process(message[2], message[3])
                 if process:
                     message[4](process)
-        self._flying = [m for m in self._flying if self.now - m[0] < 30]
+        self._in_flight = [m for m in self._in_flight if self.now - m[0] < 30]
 
-    def _can_take(self, message):
-        process = self._find(message[2], message[3])
+    def _can_deliver(self, message):
+        process = self._find_process(message[2], message[3])
         return process is None or not process.paused
 
-    def _find(self, vm, role):
+    def _find_process(self, vm, role):
         node = self.node_by_vm.get(vm)
         return getattr(node, role) if node else None
--- a/godwitlanding/zone.py
+++ b/godwitlanding/zone.py
@@ -14,9 +14,9 @@
 from godwitlanding.daemons.services.borrowing import Borrowing
 from godwitlanding.daemons.services.configuration import Configuration
 from godwitlanding.daemons.services.lending import Lending
-from godwitlanding.daemons.services.links import Listener, Peers
 from godwitlanding.daemons.services.members import Members
-from godwitlanding.daemons.services.planner import Planning
+from godwitlanding.daemons.services.peerconnections import Listener, Peers
+from godwitlanding.daemons.services.planner import PlannerService
 from godwitlanding.daemons.services.platform import Platform
 from godwitlanding.daemons.services.probes import Probes
 from godwitlanding.daemons.services.replication import Replication
@@ -51,7 +51,7 @@
         Arbitration(context),
         Probes(context),
         Summary(context),
-        Planning(context),
+        PlannerService(context),
         Listener(context),
         HttpServer(
             "http",
