--- a/godwitlanding/daemons/services/claimrunner.py
+++ b/godwitlanding/daemons/services/claimrunner.py
@@ -1,4 +1,4 @@
-"""Runs claimed work to its end, whoever leaves meanwhile."""
+"""Runs claimed requests to completion even if the caller disconnects."""
 
 import asyncio
 from typing import Protocol
@@ -6,27 +6,27 @@
 from godwitlanding.base.codes import RUN_NO, Code, make_refusal
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.tasks import Tasks
-from godwitlanding.daemons.responsewriter import ResponseRecorder, replay
+from godwitlanding.daemons.responsewriter import Recorder, replay
 from godwitlanding.daemons.services.requestexecutor import Guard
 
 
 class ClaimRecord(Protocol):
-    """Where a claim and its outcome are kept."""
+    """Stores a claim and its outcome."""
 
     async def confirm(self):
-        """Return ``None`` once the work may be sent, else a refusal."""
+        """Return ``None`` once the request may be sent, else a refusal."""
 
     def withdraw(self):
-        """The work was certainly not run."""
+        """Remove the claim of a request that was certainly not run."""
 
     def finish(self, outcome):
-        """Keep the outcome; ``None`` where it is not known."""
+        """Store the outcome; ``None`` if it is unknown."""
 
 
 class ClaimGuard(Guard):
-    """Lets work be dispatched only once its claim is recorded.
+    """Allows dispatch only after the claim has been recorded.
 
-    ``is_confirmed`` tells that bytes may have gone to an upstream.
+    ``is_confirmed`` is true once bytes may have been sent to an upstream.
     """
 
     def __init__(self, record, confirm_timeout_s):
@@ -35,7 +35,7 @@
         self._confirm_timeout_s = confirm_timeout_s
 
     async def confirm(self):
-        """Wait for the record, for no longer than a slot may idle."""
+        """Wait for the record, at most as long as a slot may stay idle."""
         try:
             async with asyncio.timeout(self._confirm_timeout_s):
                 refusal = await self._record.confirm()
@@ -46,7 +46,7 @@
 
 
 class ClaimRunner(Service):
-    """Carries claimed work in tasks that outlive their callers."""
+    """Executes claimed requests in tasks that outlive the connection."""
 
     name = "once"
     needs = ("carrier",)
@@ -58,27 +58,27 @@
         self._running = set()
 
     async def start(self, kernel):
-        """Find the carrier."""
-        self._carrier = kernel.get("carrier")
+        """Look up the request executor."""
+        self._executor = kernel.get("carrier")
 
     async def stop(self):
-        """Wait for the work in progress, each bounded by its deadline."""
+        """Wait for the running requests; each ends by its deadline."""
         if self._running:
             await asyncio.wait(self._running)
 
     def get_status(self):
-        """Return the number of pieces of work in progress."""
+        """Return the number of running requests."""
         return {"running": len(self._running)}
 
-    async def run(self, request, sink, record):
-        """Run a new claim; return the ``Refusal`` to give, if any.
+    async def run(self, request, response_writer, record):
+        """Run a new claim; return the ``Refusal``, or ``None``.
 
-        A caller that leaves before the work may have been sent takes it
-        along; later the work goes on, so that its outcome is known when
-        the caller presses again.
+        If the caller disconnects before the request may have been sent, the
+        request is cancelled. Afterwards it runs on, so that its outcome is
+        known when the caller submits it again.
         """
         guard = ClaimGuard(record, self._confirm_timeout_s)
-        recorder = ResponseRecorder(sink)
+        recorder = Recorder(response_writer)
         task = self._tasks.run(self._execute(request, recorder, guard, record))
         self._running.add(task)
         task.add_done_callback(self._running.discard)
@@ -89,14 +89,14 @@
                 task.cancel()
             raise
         if refusal is None:
-            await recorder.deliver()
+            await recorder.hand_on()
         return refusal
 
     async def _execute(self, request, recorder, guard, record):
         refusal = None
         is_known = False
         try:
-            refusal = await self._carrier.execute(request, recorder, guard)
+            refusal = await self._executor.carry(request, recorder, guard)
             is_known = refusal is None or refusal.run == RUN_NO
         finally:
             if not guard.is_confirmed or (is_known and refusal):
@@ -108,10 +108,13 @@
         return refusal
 
 
-async def replay_response(submitted, sink):
-    """Answer a press whose work is done; return the ``Refusal``, if any."""
+async def replay_response(submitted, response_writer):
+    """Send the stored response of a finished claim again.
+
+    Returns a ``Refusal`` if the response body was not stored, else ``None``.
+    """
     if submitted.body is None:
         detail = f"the upstream answered {submitted.status}"
         return make_refusal(Code.ANSWER_NOT_KEPT, detail=detail)
-    await replay(submitted, sink)
+    await replay(submitted, response_writer)
     return None
--- a/godwitlanding/daemons/services/members.py
+++ b/godwitlanding/daemons/services/members.py
@@ -1,4 +1,4 @@
-"""Heartbeats between the members of a zone, and the view they give."""
+"""Exchanges heartbeats in a zone and tracks which members are alive."""
 
 import asyncio
 import json
@@ -30,7 +30,7 @@
 
 
 class Members(Service):
-    """Sends and takes heartbeats; publishes the ``members`` state."""
+    """Sends and receives heartbeats; publishes the ``members`` state."""
 
     name = "members"
     needs = ("peers", "configuration")
@@ -50,7 +50,7 @@
         self._heartbeat_count = 0
 
     async def start(self, kernel):
-        """Begin the heartbeats."""
+        """Start sending and handling heartbeats."""
         settings = self._context.settings
         self.membership = Membership(
             self._context.vm,
@@ -67,32 +67,35 @@
         self._tasks.repeat(settings["heartbeat_s"], self._send_heartbeats)
 
     async def stop(self):
-        """End the heartbeats."""
+        """Stop sending heartbeats."""
         await self._tasks.stop()
 
     def listen(self, listener):
-        """Call ``listener()`` when the view of the zone may have changed."""
+        """Call ``listener()`` after each change of the ``members`` state."""
         self._listeners.append(listener)
 
     def get_services(self):
-        """Return the names of the services in the configuration in force."""
+        """Return the sorted service names of the current configuration."""
         config = self._configuration.config
         return sorted(config.service_by_name) if config else []
 
     def get_arbiters(self):
-        """Return the VMs to ask for permits, best first, by service."""
+        """Return the candidate arbiters by service, in order of preference."""
         return choose_arbiters(self.get_services(), self.member_by_vm)
 
     def get_active(self):
-        """Return the VMs of the zone that may be given work."""
+        """Return the VMs of the zone that may be assigned work."""
         return get_active(self.member_by_vm)
 
     def get_alive_since(self, vm):
-        """Return since when a member has been alive without a break."""
+        """Return the loop time since which a member has been alive.
+
+        For a member that is not alive it is the present time.
+        """
         return self._alive_since_by_vm.get(vm, self._now())
 
     def is_settled(self):
-        """Tell whether the other members have had time to be heard."""
+        """Tell whether heartbeats of all other members could have arrived."""
         return self.membership.is_settled(self._now())
 
     def get_peer_addresses(self):
@@ -105,7 +108,7 @@
         }
 
     def get_other_zone_addresses(self):
-        """Return ``ip:port`` of zone daemons in other zones."""
+        """Return ``ip:port`` of the zone daemons in other zones."""
         port = self._context.settings["zone_port"]
         zone = self._context.availability_zone
         return [
@@ -115,32 +118,35 @@
         ]
 
     def get_lowest_version(self, kind, name):
-        """Return the version that every listed member has shown it has.
+        """Return the lowest version of an object that a listed member holds.
 
-        A member that is listed and has not been heard counts as having
-        none: it may be paused and still answer callers by an old version.
+        A listed member without a received heartbeat counts as holding no
+        version: it may be paused and later serve callers from an old one.
         """
         return self.membership.get_lowest_version(
             kind, name, self._context.replica.get_version(kind, name), self._now()
         )
 
     async def announce(self):
-        """Send a heartbeat now, as when this VM begins to leave."""
+        """Send heartbeats now, for example when this VM starts to leave."""
         await self._send_heartbeats()
 
     def set_leaving(self):
-        """Take this VM out of answers; it goes on serving what it has."""
+        """Mark this VM as leaving, so that it is offered to no more callers.
+
+        It still serves its open requests.
+        """
         self.membership.leaving = True
         self.refresh()
 
     def remove_entry(self, incarnation):
-        """Name an entry process that leaves, or has died, to nobody."""
+        """Stop announcing an entry process that is leaving or has ended."""
         if self.entry_incarnation == incarnation:
             self.entry_incarnation = ""
             self.refresh()
 
     def refresh(self):
-        """Work out the view again and publish it if it has changed."""
+        """Recompute the members and publish them if they have changed."""
         now = self._now()
         members = self.membership.get_members(now, self._make_heartbeat())
         self.member_by_vm = self._mark_drained(members)
@@ -149,7 +155,7 @@
             self._publish()
 
     def get_status(self):
-        """Return the members and arbiters as this process sees them."""
+        """Return the members and arbiters known to this process."""
         if self.membership is None:
             return {}
         members = [m._asdict() for _, m in sorted(self.member_by_vm.items())]
--- a/godwitlanding/daemons/services/peerconnections.py
+++ b/godwitlanding/daemons/services/peerconnections.py
@@ -1,11 +1,11 @@
-"""The zone daemon's connections to other processes of ours."""
+"""Opens and accepts a zone daemon's connections to other daemons."""
 
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.wire import Pool, Server
 
 
 class Peers(Service):
-    """Dials peers and holds the table of handlers that services fill."""
+    """Connects to peers and holds the handlers that services register."""
 
     name = "peers"
 
@@ -15,16 +15,16 @@
         self.pool = Pool(context.make_hello(), self.handler_by_type, context.counters)
 
     def handle(self, message_type, handler):
-        """Answer messages of a type by ``handler(channel, message)``."""
+        """Call ``handler(channel, message)`` for messages of a type."""
         self.handler_by_type[message_type] = handler
 
     async def stop(self):
-        """Close every connection that was dialled."""
+        """Close every connection that this process opened."""
         await self.pool.stop()
 
 
 class Listener(Service):
-    """Accepts connections once every service has its handlers in place."""
+    """Accepts connections once the services have registered their handlers."""
 
     name = "listener"
     needs = ("peers", "members", "replication", "lending", "arbitration")
@@ -34,7 +34,7 @@
         self._server = None
 
     async def start(self, kernel):
-        """Listen; raises ``OSError`` where the port cannot be had."""
+        """Listen; raises ``OSError`` if the port cannot be bound."""
         self._server = Server(
             self._context.make_hello(),
             kernel.get("peers").handler_by_type,
@@ -48,7 +48,7 @@
         await self._server.stop()
 
     def get_status(self):
-        """Return how many connections are open, by the peer's role."""
+        """Return the number of open accepted connections by peer role."""
         count_by_role = {}
         for channel in self._server.channels if self._server else ():
             role = channel.peer.role
--- a/godwitlanding/daemons/services/permitclient.py
+++ b/godwitlanding/daemons/services/permitclient.py
@@ -1,4 +1,4 @@
-"""The entry daemon's side of permits: asks, gives back, reports."""
+"""Acquires permits from the arbiters of the zone and releases them."""
 
 import asyncio
 
@@ -16,10 +16,11 @@
     Withdraw,
 )
 from godwitlanding.base.tasks import Tasks
-from godwitlanding.daemons.holdings import HeldPermits, Spill
+from godwitlanding.daemons.holdings import PermitBook, Spill
 from godwitlanding.daemons.view import MEMBERS_KIND
 
-# An arbiter that is replaced takes a moment to collect the open permits.
+# Pause before asking all arbiters again: the replacement of an arbiter has to
+# collect the open permits first.
 NO_ARBITER_WAIT_S = 0.1
 RELEASE_FLUSH_S = 1.0
 _RETRY_CODES = (
@@ -35,19 +36,19 @@
 
 
 class PermitClient(Service):
-    """Gets a permit for each request from the zone's arbiter."""
+    """Acquires a permit for each request from the zone's arbiter."""
 
     name = "permits"
     needs = ("feed",)
 
     def __init__(self, context):
-        self.held_permits = HeldPermits(context.settings["permit_start_s"])
+        self.held_permits = PermitBook(context.settings["permit_start_s"])
         self._context = context
         self._counters = context.counters
         self._port = context.settings["zone_port"]
         self._calls_by_vm = {}
-        # In this time another member takes the place of an arbiter that has
-        # died. A request that waited longer would be held back in vain.
+        # Within this time another member replaces a failed arbiter. Waiting
+        # longer than that would only delay the refusal.
         self._failover_s = (
             context.settings["member_timeout_s"] + context.settings["loan_s"]
         )
@@ -55,12 +56,12 @@
         self._tasks = Tasks()
 
     async def start(self, kernel):
-        """Find the feed, whose connections are shared."""
+        """Look up the feed, whose connections are shared."""
         self._feed = kernel.get("feed")
         self._context.replica.listen(self._apply_state)
 
     async def stop(self):
-        """Let the last releases go out."""
+        """Send the pending releases, within a time limit."""
         self._is_stopped = True
         await self._tasks.wait(RELEASE_FLUSH_S)
         await self._tasks.stop()
@@ -72,7 +73,7 @@
     async def acquire(self, request, excluded=(), attempt=0, may_pass_on=True):
         """Return a ``Permit``, a ``Spill`` or a ``Refusal``.
 
-        ``attempt`` tells the asks of one request apart.
+        ``attempt`` distinguishes the acquires of one request.
         """
         loop = asyncio.get_running_loop()
         tried = set()
@@ -109,11 +110,11 @@
             tried.add(vm)
 
     def answer_holdings(self, holdings):
-        """Return the open permits that a new arbiter asks for."""
+        """Return the open permits that a new arbiter requests."""
         return self.held_permits.answer(holdings, asyncio.get_running_loop().time())
 
     def release(self, permit, outcome, took_s=0.0, fingerprint=0):
-        """Give a permit back with its outcome."""
+        """Release a permit and report the request's outcome."""
         self.held_permits.end(permit)
         self._send(
             permit.arbiter_address,
@@ -128,7 +129,7 @@
         )
 
     def end_spill(self, spill):
-        """Tell the arbiter that a request passed on has ended."""
+        """Notify the arbiter that a forwarded request has ended."""
         self._send(spill.arbiter_address, Withdraw(spill.service, spill.ask_id))
 
     def _choose_arbiter(self, service, tried):
@@ -151,16 +152,16 @@
         try:
             return await asyncio.shield(call)
         except asyncio.CancelledError:
-            # The caller has gone. A grant that is already under way has to
-            # go back, or its slot would stand idle until it expires.
+            # The caller has disconnected. A grant that is already on its way
+            # is released, or its slot would stay idle until it expires.
             self._send(address, Withdraw(message.service, message.request_id))
             call.add_done_callback(lambda call: self._return_grant(call, address))
             raise
         finally:
             del calls[call]
 
-    def _handle_answer(self, answer, asked, vm, requested_at):
-        """Return the final word of an arbiter, or ``None``: ask another."""
+    def _handle_answer(self, answer, acquire_message, vm, requested_at):
+        """Return the result of an acquire, ``None`` to ask another arbiter."""
         if answer.is_err():
             refusal = answer.unwrap_err()
             if refusal.code not in _RETRY_CODES:
@@ -179,8 +180,8 @@
                 message.availability_zone,
                 requested_at + message.valid_s,
                 self._get_address(vm),
-                asked.service,
-                asked.request_id,
+                acquire_message.service,
+                acquire_message.request_id,
             )
         return make_refusal(Code.UNEXPECTED_MESSAGE)
 
@@ -211,8 +212,8 @@
             self._release_unused(answer, address)
 
     def _send(self, address, message):
-        # A request that is cut by the end of the process has no loop left
-        # to send its release; the arbiter frees the slot at its deadline.
+        # A request that is cancelled when the process ends has no event loop
+        # to send its release on. The arbiter frees the slot at its deadline.
         if self._is_stopped:
             return
         channel = self._feed.pool.find_open_channel(address)
@@ -222,11 +223,11 @@
             self._tasks.run(self._feed.pool.send(address, message))
 
     def _apply_state(self, state):
-        """Ask anew where the arbiter that a request waits for was replaced.
+        """Move waiting requests on when their arbiter has been replaced.
 
-        A paused arbiter keeps its connections open and answers nothing.
-        Its requests would wait until their deadlines though another member
-        has long taken its place.
+        A paused arbiter keeps its connections open but sends no responses.
+        Its requests would wait until their deadlines although another
+        member has already replaced it.
         """
         if state.kind != MEMBERS_KIND:
             return
--- a/godwitlanding/daemons/services/planner.py
+++ b/godwitlanding/daemons/services/planner.py
@@ -1,4 +1,4 @@
-"""Moves the plan while this VM holds the planner's lease."""
+"""Updates the traffic plan while this VM holds the planner lease."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class PlannerService(Service):
-    """Holds or waits for the lease; one candidate a zone."""
+    """Competes for the lease and plans; each zone has one candidate."""
 
     name = "planner"
     needs = ("replication", "members", "configuration", "platform", "summary")
@@ -35,7 +35,7 @@
         self._planner = None
 
     async def start(self, kernel):
-        """Begin to follow plan, summaries and lease."""
+        """Start following plan and summaries, and updating the plan."""
         self._members = kernel.get("members")
         self._replication = kernel.get("replication")
         self._configuration = kernel.get("configuration")
@@ -48,14 +48,14 @@
         self._tasks.repeat(interval_s, self._update_plan)
 
     async def stop(self):
-        """Give the lease back, so that another planner need not wait."""
+        """Release the lease, so that another planner need not wait."""
         await self._tasks.stop()
         if self._candidate.holds(self._now()):
             body = format_lease(self._candidate.release())
             await self._store.put(LEASE_KIND, LEASE_NAME, body, self._candidate.version)
 
     def get_status(self):
-        """Return who holds the lease and what the plan waits for."""
+        """Return the lease holder and the state of the planner."""
         if self._planner is None:
             return {}
         now = self._now()
@@ -142,7 +142,8 @@
             await self._replication.publish(state)
             self._context.counters.add("plans_written")
             return
-        # A lost answer or a paused former planner: the plan that is in
-        # force comes by the watch, and nothing is written before it does.
+        # The response was lost, or this process was paused and another planner
+        # has replaced it. The current plan arrives by the watch; nothing is
+        # written before it does.
         code = written.unwrap_err().code
         self._context.counters.add("plan_write_failed", code=code.name)
--- a/godwitlanding/daemons/services/platform.py
+++ b/godwitlanding/daemons/services/platform.py
@@ -1,10 +1,10 @@
-"""The platform's object API as a service of a daemon."""
+"""Provides the client of the platform's object store as a service."""
 
 from godwitlanding.base.kernel import Service
 
 
 class Platform(Service):
-    """Opens and closes the client of the platform."""
+    """Holds the platform client and closes it on stop."""
 
     name = "platform"
 
--- a/godwitlanding/daemons/services/probes.py
+++ b/godwitlanding/daemons/services/probes.py
@@ -1,4 +1,4 @@
-"""Probes the health endpoints of the upstreams that this VM arbitrates."""
+"""Probes the health endpoints of upstreams whose arbiter is this VM."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 
 
 class Probes(Service):
-    """Asks ``/healthz`` of each upstream every ``probe_s``."""
+    """Requests ``/healthz`` of each upstream every ``probe_s`` seconds."""
 
     name = "probes"
     needs = ("arbitration", "configuration")
@@ -26,7 +26,7 @@
         self.state_by_upstream = {}
 
     async def start(self, kernel):
-        """Begin to probe."""
+        """Start the probes."""
         self._arbitration = kernel.get("arbitration")
         self._configuration = kernel.get("configuration")
         timeout_s = self._context.settings["probe_timeout_s"]
@@ -36,13 +36,13 @@
         self._tasks.repeat(self._context.settings["probe_s"], self._probe_all)
 
     async def stop(self):
-        """End the probes."""
+        """Stop the probes."""
         await self._tasks.stop()
         if self._session:
             await self._session.close()
 
     def get_status(self):
-        """Return what each upstream last said of itself."""
+        """Return the state that each upstream's last probe returned."""
         return {"state_by_upstream": self.state_by_upstream}
 
     async def _probe_all(self):
@@ -61,7 +61,7 @@
             state = await self._fetch_state(upstream.address)
         finally:
             self._probing.discard(upstream.id)
-        before = self.state_by_upstream.get(upstream.id)
+        previous_state = self.state_by_upstream.get(upstream.id)
         self.state_by_upstream[upstream.id] = state
         health = self._arbitration.health_by_service.get(upstream.service)
         if health is None:
@@ -70,7 +70,7 @@
         now = asyncio.get_running_loop().time()
         health.note_probe(upstream.id, probe_result, now)
         self._arbitration.refresh_usable(upstream.service)
-        if state == "cold" and before not in ("cold", None):
+        if state == "cold" and previous_state not in ("cold", None):
             self._arbitration.note_cold(upstream.service, upstream.id)
 
     async def _fetch_state(self, address):
--- a/godwitlanding/daemons/services/replication.py
+++ b/godwitlanding/daemons/services/replication.py
@@ -1,8 +1,9 @@
-"""Brings versioned objects from the platform to every process of a zone.
+"""Replicates versioned objects from the platform to a zone's processes.
 
-Two members of a zone watch the platform and pass each change on to the
-others at once, so that the platform's reads grow with zones and not with
-VMs. Every member pushes what it holds to the processes of its VM.
+Two members of a zone watch the platform and send each change to the other
+members at once, so that the load on the platform grows with the number of
+zones and not of VMs. Each member pushes its objects to the processes of its
+VM.
 """
 
 import asyncio
@@ -22,15 +23,16 @@
 WATCHER_COUNT = 2
 WATCH_TIMEOUT_S = 30.0
 RETRY_INTERVAL_S = 0.5
-# Members that do not watch look this many list intervals apart whether the
-# platform answers them; at 2,000 nodes that is 200 reads a second.
+# A member that does not watch checks only every this many list intervals
+# whether it can reach the platform; with 2,000 nodes that is 200 reads a
+# second.
 REACHABILITY_CHECK_INTERVALS = 5
 SECRET_BYTES = 32
 FETCH_TIMEOUT_S = 1.0
 
 
 class Replication(Service):
-    """Watches, passes on, serves ``Fetch`` and pushes to subscribers."""
+    """Watches the platform, serves ``Fetch`` and pushes to subscribers."""
 
     name = "replication"
     needs = ("peers", "members", "platform")
@@ -49,7 +51,7 @@
         self._handler_by_kind = {}
 
     async def start(self, kernel):
-        """Begin to watch, or take what peers hold."""
+        """Start watching the platform and handling messages of peers."""
         self._members = kernel.get("members")
         self._peers = kernel.get("peers")
         self._store = kernel.get("platform").store
@@ -63,41 +65,41 @@
         self._tasks.repeat(RETRY_INTERVAL_S, self._fetch_from_seeds)
 
     async def stop(self):
-        """End the watches."""
+        """Stop the watches."""
         await self._tasks.stop()
 
     def is_ready(self):
-        """Tell whether there is a configuration to serve by."""
+        """Tell whether the configuration and the VM list are available."""
         replica = self._context.replica
         return bool(replica.get("config", "main") and replica.get(VMS_KIND, "main"))
 
     def is_watcher(self):
-        """Tell whether this member reads the platform for the zone."""
+        """Tell whether this member watches the platform for the zone."""
         return self._context.vm in self._choose_reachable(WATCHER_COUNT)
 
     def is_zone_writer(self):
-        """Tell whether this member writes what the zone writes once."""
+        """Tell whether this member writes the zone's own objects."""
         return self._context.vm == self.choose_zone_writer()
 
     def handle_kind(self, kind, handler):
-        """Give states of a kind that are no objects to ``handler(state)``."""
+        """Call ``handler(state)`` for states of a kind not on the platform."""
         self._handler_by_kind[kind] = handler
 
     def choose_zone_writer(self):
-        """Return the member that writes what the zone writes once."""
+        """Return the member that writes the zone's own objects, or ``""``."""
         return next(iter(self._choose_reachable(1)), "")
 
     async def publish(self, state):
-        """Take a state that this process has written and pass it on."""
+        """Store a state that this process has written and send it to peers."""
         self._context.replica.offer(state)
         self._send_to_peers(state)
 
     async def write(self, kind, name, body, version):
-        """Write an object of the system's own; ``Ok(new version)``.
+        """Write an object of the system itself; return ``Ok(new version)``.
 
-        A platform that came back from an older copy has lost ``version``, on
-        which the write is made, and would refuse it for ever; it is made on
-        the older one that stands there.
+        A platform that was restored from an older backup has lost
+        ``version`` and would reject every write conditional on it. The write
+        is then made conditional on the older version that is stored.
         """
         written = await self._store.put(kind, name, body, version)
         if written.is_ok() or written.unwrap_err().code is not Code.VERSION_CONFLICT:
@@ -156,9 +158,9 @@
     async def _watch(self, kind):
         while True:
             after = self._after_by_kind.get(kind, 0)
-            # The first look must not wait: a kind without objects answers
-            # only after its timeout, and until then there would be no key
-            # for tickets.
+            # The first watch must not wait: for a kind without objects it
+            # returns only after its timeout, and until then there would be
+            # no key for tickets.
             timeout_s = WATCH_TIMEOUT_S if kind in self._after_by_kind else 0.0
             answer = await self._store.watch(kind, after, timeout_s)
             if answer.is_err():
@@ -173,8 +175,8 @@
             if kind == "secret":
                 await self._create_secret()
             if kind == "summary":
-                # Summaries change all the time: one look a second gathers
-                # them instead of one answer for each.
+                # Summaries change all the time: one watch a second returns
+                # several of them instead of one response for each.
                 await asyncio.sleep(1.0)
 
     async def _handle_watch_failure(self, kind, refusal):
@@ -196,8 +198,8 @@
         if includes_held or state.version >= held:
             self._older_version_by_key.pop(key, None)
         if includes_held and state.version < held:
-            # Only late: what is held came by a peer or by an own write, and
-            # the watch will bring it too.
+            # The event is only late: the version held came from a peer or
+            # from a write of this process, and the watch will return it too.
             return
         if state.version < held:
             self._older_version_by_key[key] = state.version
@@ -213,7 +215,7 @@
             return
         key = secrets.token_hex(SECRET_BYTES)
         body = json.dumps({"key": key}).encode()
-        # Whoever loses the race reads the winner's key from the watch.
+        # If another process creates the key first, the watch returns that key.
         await self._store.put("secret", "ticket", body, 0)
 
     async def _read_vm_list(self):
@@ -234,10 +236,10 @@
             self._send_to_peers(state)
 
     async def _fetch_from_seeds(self):
-        """Take the newest of everything from peers while the platform is away.
+        """Fetch the required objects from the configured seeds.
 
-        A VM started during an outage has no list of VMs: it asks the
-        addresses in its settings, in any zone, and then what those name.
+        A VM that is started during an outage of the platform has no VM list.
+        It fetches it from the addresses in its settings, in any zone.
         """
         if self.is_ready():
             return
@@ -270,8 +272,8 @@
     async def _unsubscribe_when_closed(self, channel):
         await channel.closed.wait()
         self._kinds_by_channel.pop(channel, None)
-        # One that has died must not stay named as the home of tickets and
-        # to callers, who would find nobody there until another starts.
+        # An entry process that has ended is removed from the members, or
+        # tickets and callers would be sent to it until another one starts.
         if channel.peer.role == ENTRY_ROLE and channel.peer.vm == self._context.vm:
             self._members.remove_entry(channel.peer.incarnation)
 
--- a/godwitlanding/daemons/services/requestforwarder.py
+++ b/godwitlanding/daemons/services/requestforwarder.py
@@ -1,4 +1,4 @@
-"""Hands requests to entry processes of other VMs over HTTP."""
+"""Forwards requests to the entry processes of other VMs over HTTP."""
 
 import asyncio
 import random
@@ -9,20 +9,20 @@
 from godwitlanding.base.messages import OUTCOME_FAILED, OUTCOME_UNUSED
 from godwitlanding.base.tasks import Tasks
 from godwitlanding.daemons.forward import HOP, Forward, sign_forward
-from godwitlanding.daemons.responsechecks import AttemptResult
+from godwitlanding.daemons.responsechecks import Attempt
 from godwitlanding.decisions.spill import LinkLimiter
 
-# One VM that has just died must not fail the spill; with more, the caller
-# waits through a zone that is gone.
+# Two targets, so that one VM that has just died does not fail the spill. With
+# more, the caller would wait for one target after another in a failed zone.
 MAX_TARGETS = 2
-# All of today's VMs; in a larger fleet a sample, so that one bad request
-# costs no more than a few messages.
+# Covers all VMs of the present fleet. In a larger fleet a random sample is
+# sent to, which bounds the messages that one poison request causes.
 MAX_POISON_RECIPIENTS = 32
 STATE_LIVE = "live"
 
 
 class RequestForwarder(Service):
-    """Forwards requests and meters the links between zones."""
+    """Forwards requests and enforces the limits of links between zones."""
 
     name = "passer"
     needs = ("feed", "upstreams")
@@ -36,29 +36,33 @@
         self._bad_until_by_vm = {}
 
     async def start(self, kernel):
-        """Find the services that it uses."""
+        """Look up the required services."""
         self._feed = kernel.get("feed")
         self._upstreams = kernel.get("upstreams")
 
     async def stop(self):
-        """Drop warnings that are still under way."""
+        """Cancel poison messages that have not been sent."""
         await self._tasks.stop()
 
-    async def forward_spill(self, request, spill, sink):
-        """Send to an entry VM of the spill's zone; return an ``Attempt``."""
+    async def forward_spill(self, request, spill, response_writer):
+        """Send to an entry VM of the spill's zone, as ``forward``."""
         zone = spill.availability_zone
         end = min(spill.until, request.deadline)
         attempt = _make_refused_result(
             Code.PEER_UNREACHABLE, detail=f"no entry VM in {zone}"
         )
         for row in self._list_targets(zone)[:MAX_TARGETS]:
-            attempt = await self.forward(request, row, HOP, end, sink)
+            attempt = await self.forward(request, row, HOP, end, response_writer)
             if attempt.code is not Code.PEER_UNREACHABLE:
                 return attempt
         return attempt
 
-    async def forward(self, request, row, kind, end, sink):
-        """Send to the entry process of the VM in ``row``, once."""
+    async def forward(self, request, row, kind, end, response_writer):
+        """Send once to the entry process of the VM in ``row``.
+
+        Returns an ``AttemptResult``; ``PEER_UNREACHABLE`` means that nothing
+        was sent.
+        """
         loop = asyncio.get_running_loop()
         key = self._feed.view.get_ticket_key()
         if key is None:
@@ -76,27 +80,30 @@
             key, signed_forward, request.method, target, request.key
         )
         headers.append((DEADLINE, f"{end - loop.time():.3f}"))
-        before = sink.sent_bytes
+        sent_bytes_before = response_writer.sent_bytes
         attempt = await self._upstreams.send(
             request,
             f"{row.address}:{self._port}",
             target,
             headers,
             end,
-            sink,
+            response_writer,
             _read_refusal,
         )
         if limiter:
-            limiter.note_bytes(sink.sent_bytes - before, loop.time())
+            limiter.note_bytes(
+                response_writer.sent_bytes - sent_bytes_before, loop.time()
+            )
         if attempt.code is Code.UPSTREAM_FAILED and attempt.run == RUN_NO:
             return _make_refused_result(Code.PEER_UNREACHABLE, detail=attempt.detail)
         return attempt
 
     def broadcast_poison(self, message):
-        """Tell other entry processes of a request that crashes upstreams.
+        """Send a poison request's fingerprint to other entry processes.
 
-        Its caller tries another VM or zone next, which would lose two
-        upstreams of its own before it knows.
+        A poison request crashes upstreams. Its caller retries it at another
+        VM or zone, which would otherwise lose two upstreams of its own
+        before it rejects the request.
         """
         port = self._context.settings["entry_peer_port"]
         rows = [row for row in self._feed.view.get_vms() if row.state == STATE_LIVE]
@@ -114,10 +121,10 @@
         return rows
 
     def _get_link_limiter(self, zone):
-        """Return the meter of the link to ``zone``; ``None`` for no limit.
+        """Return the limiter of the link to ``zone``, ``None`` if unlimited.
 
-        The text limits the link of the whole zone, over which each of its
-        members sends for itself, so each meters its share.
+        The configured limit is for the whole zone. Its members send
+        independently, so each one limits itself to an equal share.
         """
         config = self._feed.view.get_config()
         own = self._context.availability_zone
@@ -126,31 +133,31 @@
             return None
         members = self._feed.view.get_members()
         count = max(1, sum(member.alive for member in members))
-        held = self._limiter_by_zone.get(zone)
-        if held is None or held[0] != (link, count):
+        cached = self._limiter_by_zone.get(zone)
+        if cached is None or cached[0] != (link, count):
             limiter = LinkLimiter(link.requests_per_s / count, link.bytes_per_s / count)
-            held = ((link, count), limiter)
-            self._limiter_by_zone[zone] = held
-        return held[1]
+            cached = ((link, count), limiter)
+            self._limiter_by_zone[zone] = cached
+        return cached[1]
 
 
 def _make_refused_result(code, retry_after_s=1.0, detail=""):
-    return AttemptResult(OUTCOME_FAILED, RUN_NO, code, detail, retry_after_s)
+    return Attempt(OUTCOME_FAILED, RUN_NO, code, detail, retry_after_s)
 
 
 def _read_refusal(status, headers):
-    """Return the ``Attempt`` of an entry process that refused.
+    """Return the ``AttemptResult`` of a refusal, ``None`` for a response.
 
-    Its outcome is ``OUTCOME_UNUSED``, which tells a refusal that the other
-    process gave from a failure to reach it.
+    Its outcome is ``OUTCOME_UNUSED``, which distinguishes a refusal by the
+    other entry process from a failure to reach it.
     """
-    number = headers.get(REFUSED)
-    if number is None:
+    code_text = headers.get(REFUSED)
+    if code_text is None:
         return None
     try:
-        code = Code(int(number))
+        code = Code(int(code_text))
         retry_after_s = float(headers.get("Retry-After", "0"))
     except ValueError:
-        return AttemptResult(OUTCOME_FAILED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, number)
+        return Attempt(OUTCOME_FAILED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, code_text)
     run = Run(headers.get(RUN, RUN_UNKNOWN))
-    return AttemptResult(OUTCOME_UNUSED, run, code, "in another zone", retry_after_s)
+    return Attempt(OUTCOME_UNUSED, run, code, "in another zone", retry_after_s)
--- a/godwitlanding/daemons/services/requesthandler.py
+++ b/godwitlanding/daemons/services/requesthandler.py
@@ -1,4 +1,4 @@
-"""The way of a request through the entry daemon, from caller to caller."""
+"""Parses callers' requests, executes them and sends the responses."""
 
 import asyncio
 import re
@@ -18,11 +18,11 @@
 from godwitlanding.base.web import make_problem
 from godwitlanding.daemons.forward import read_forward
 from godwitlanding.daemons.request import Request, compute_fingerprint
-from godwitlanding.daemons.requestreader import RequestReader
-from godwitlanding.daemons.responsewriter import ResponseWriter
+from godwitlanding.daemons.requestreader import Upload
+from godwitlanding.daemons.responsewriter import Sink
 
-# A body up to this size is read whole before a permit is asked for, so a
-# slow upload holds no slot and the request can be sent again.
+# A body up to this size is buffered before a permit is acquired, so that a
+# slow upload occupies no slot and the request can be retried.
 BUFFERED_BODY_BYTES = 262_144
 MAX_ID_CHARS = 64
 BUSY_RETRY_S = 1.0
@@ -30,7 +30,7 @@
 
 
 class RequestHandler(Service):
-    """The ASGI application under ``/s/``."""
+    """Serves the ASGI application under ``/s/``."""
 
     name = "requests"
     needs = ("feed", "carrier", "claims")
@@ -43,17 +43,17 @@
         self._settings = context.settings
 
     async def start(self, kernel):
-        """Find the services that a request passes through."""
+        """Look up the services that handle a request."""
         self._feed = kernel.get("feed")
-        self._carrier = kernel.get("carrier")
+        self._executor = kernel.get("carrier")
         self._claims = kernel.get("claims")
 
     def begin_leaving(self):
-        """Close each caller's connection with its next answer."""
+        """Close each caller's connection after its next response."""
         self.is_leaving = True
 
     def get_status(self):
-        """Return how many requests are in progress and for how long."""
+        """Return the number of open requests and the age of the oldest."""
         now = asyncio.get_running_loop().time()
         started_at = min(self._started_at_by_id.values(), default=now)
         return {
@@ -78,55 +78,63 @@
 
     async def _handle(self, scope, receive, send):
         request_id = uuid.uuid4().hex
-        upload = RequestReader(receive, self._settings["max_body_bytes"])
-        read = await self._parse_request(scope, upload, request_id)
-        if upload.is_gone:
+        request_reader = Upload(receive, self._settings["max_body_bytes"])
+        read = await self._parse_request(scope, request_reader, request_id)
+        if request_reader.is_gone:
             return
         if read.is_err():
             refusal = _adjust_refusal(read.unwrap_err(), scope)
             await self._refuse(refusal, request_id, scope, receive, send)
             return
         request = read.unwrap()
-        self._carrier.trace.add(
+        self._executor.trace.add(
             request.id,
             "arrived",
             service=request.service.name,
             caller=request.caller,
             from_zone=request.from_zone,
         )
-        sink = ResponseWriter(send, request_id, lambda: self.is_leaving)
+        response_writer = Sink(send, request_id, lambda: self.is_leaving)
         try:
-            refusal = await self._execute(request, sink)
+            refusal = await self._execute(request, response_writer)
         except asyncio.CancelledError:
-            refusal = self._make_cancel_refusal(request, upload)
+            refusal = self._make_cancel_refusal(request, request_reader)
         finally:
-            upload.end()
+            request_reader.end()
         if refusal:
-            await self._refuse_or_cut(refusal, request, sink, scope, receive, send)
+            await self._refuse_or_cut(
+                refusal, request, response_writer, scope, receive, send
+            )
+
+    def _make_cancel_refusal(self, request, request_reader):
+        """Return the refusal for a request cancelled by ``RequestReader``.
 
-    def _make_cancel_refusal(self, request, upload):
-        """Return the refusal for a request that its own caller ended."""
-        if not (upload.is_gone or upload.is_too_large):
+        Returns ``None`` if the caller has disconnected. Any other
+        cancellation is raised again.
+        """
+        if not (request_reader.is_gone or request_reader.is_too_large):
             raise asyncio.CancelledError
         asyncio.current_task().uncancel()
-        if upload.is_gone:
+        if request_reader.is_gone:
             self._counters.add("callers_gone", service=request.service.name)
-            self._carrier.trace.add(request.id, "caller gone")
+            self._executor.trace.add(request.id, "caller gone")
             return None
         return make_refusal(Code.BODY_TOO_LARGE, run=RUN_UNKNOWN)
 
-    async def _refuse_or_cut(self, refusal, request, sink, scope, receive, send):
-        if sink.started:
-            # Returning without the last part closes the connection, so a
-            # body that broke off cannot look complete.
+    async def _refuse_or_cut(
+        self, refusal, request, response_writer, scope, receive, send
+    ):
+        if response_writer.started:
+            # Returning without the last part closes the connection, so that
+            # an interrupted body does not look complete.
             self._counters.add("answers_cut", code=refusal.code.name)
-            self._carrier.trace.add(request.id, "cut", code=refusal.code.name)
+            self._executor.trace.add(request.id, "cut", code=refusal.code.name)
             return
         await self._refuse(refusal, request.id, scope, receive, send)
 
     async def _refuse(self, refusal, request_id, scope, receive, send):
         self._counters.add("requests_refused", code=refusal.code.name)
-        self._carrier.trace.add(
+        self._executor.trace.add(
             request_id,
             "refused",
             code=refusal.code.name,
@@ -142,7 +150,7 @@
             response.headers["Connection"] = "close"
         await response(scope, receive, send)
 
-    async def _parse_request(self, scope, upload, request_id):
+    async def _parse_request(self, scope, request_reader, request_id):
         config = self._feed.view.get_config()
         if config is None:
             return Err(make_refusal(Code.NOT_READY, 1.0))
@@ -165,9 +173,11 @@
         deadline = asyncio.get_running_loop().time() + remaining.unwrap()
         length_refusal = self._check_length(value_by_name)
         body = (
-            b"" if length_refusal else await upload.read_beginning(BUFFERED_BODY_BYTES)
+            b""
+            if length_refusal
+            else await request_reader.read_head(BUFFERED_BODY_BYTES)
         )
-        if length_refusal or upload.is_too_large:
+        if length_refusal or request_reader.is_too_large:
             return Err(length_refusal or make_refusal(Code.BODY_TOO_LARGE))
         target = _strip_service_prefix(target)
         return Ok(
@@ -178,7 +188,7 @@
                 target,
                 headers,
                 body,
-                upload.watch(asyncio.current_task()),
+                request_reader.watch(asyncio.current_task()),
                 forward.caller or self._get_caller(scope, value_by_name),
                 deadline,
                 compute_fingerprint(service.name, scope["method"], target, body),
@@ -201,18 +211,19 @@
             return value_by_name["x-caller"][:MAX_ID_CHARS]
         return scope["client"][0] if scope.get("client") else ""
 
-    async def _execute(self, request, sink):
+    async def _execute(self, request, response_writer):
         if request.needs_ticket:
-            return await self._claims.run(request, sink)
-        return await self._carrier.execute(request, sink)
+            return await self._claims.run(request, response_writer)
+        return await self._executor.carry(request, response_writer)
 
 
 def _adjust_refusal(refusal, scope):
-    """Return what a refusal before any record was looked at may say.
+    """Return a refusal whose ``run`` is unknown if the request has a key.
 
-    An earlier press of the same key may have run, here or elsewhere. A
-    process that has just started in place of the one that ran it would
-    else tell its caller "not run", and the work would be paid for twice.
+    Such a refusal is made before any record has been read, and an earlier
+    request with the same key may have run here or elsewhere. A process that
+    replaces the one that ran it would otherwise report "not run", and the
+    payment would be made twice.
     """
     name = IDEMPOTENCY_KEY.lower().encode()
     if any(key.lower() == name for key, _ in scope["headers"]):
@@ -228,7 +239,7 @@
         remaining_s = float(text)
     except ValueError:
         remaining_s = -1.0
-    # Also turns away "nan", which compares false with everything.
+    # Also rejects "nan", whose comparisons are all false.
     if not 0 < remaining_s < float("inf"):
         return Err(make_refusal(Code.MALFORMED_REQUEST, detail=f"{DEADLINE}: {text}"))
     return Ok(min(remaining_s, service.deadline_s))
@@ -242,7 +253,7 @@
 
 
 def _make_target(scope):
-    """Return path and query as sent, ``None`` where they are not ASCII."""
+    """Return path and query as sent, ``None`` if they are not ASCII."""
     raw = scope.get("raw_path") or scope["path"].encode()
     if query := scope.get("query_string", b""):
         raw += b"?" + query
@@ -250,7 +261,10 @@
 
 
 def _strip_service_prefix(target):
-    """Return what follows the service's name, which may be escaped."""
+    """Return the target without ``/s/`` and the service name.
+
+    The service name may be percent-encoded.
+    """
     match = _SERVICE_PREFIX.match(target)
     rest = target[match.end() :]
     return rest if rest.startswith("/") else "/" + rest
--- a/godwitlanding/daemons/services/routing.py
+++ b/godwitlanding/daemons/services/routing.py
@@ -1,4 +1,4 @@
-"""What a steer process makes of its replica: who may be named to whom."""
+"""Chooses the entry VMs that a steer process returns to a caller."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class Routing(Service):
-    """Joins configuration, plan, members and VM list as they change."""
+    """Combines configuration, plan, members and VM list as they change."""
 
     name = "routing"
     needs = ("feed", "callers")
@@ -37,7 +37,7 @@
         self._ranking_by_key = {}
 
     async def start(self, kernel):
-        """Read what the replica holds and follow its changes."""
+        """Apply the states in the replica and follow its changes."""
         self._view = kernel.get("feed").view
         self._callers = kernel.get("callers")
         for state in self._context.replica.get_kind(SUMMARY_KIND):
@@ -46,7 +46,7 @@
         self._context.replica.listen(self._apply_state)
 
     def get_status(self):
-        """Return the number of VMs that answers may name, by zone."""
+        """Return the number of VMs that responses may contain, by zone."""
         return {
             "usable_vms": {z: len(t) for z, t in sorted(self.targets_by_zone.items())},
             "leaving": self._is_leaving,
@@ -54,7 +54,7 @@
 
     @property
     def config(self):
-        """Return the configuration in force, or ``None``."""
+        """Return the current configuration, or ``None``."""
         return self._view.get_config()
 
     @property
@@ -65,19 +65,19 @@
         return config_version, get_version(PLAN_KIND, MAIN_NAME)
 
     def is_ready(self):
-        """Tell whether there is a configuration and a VM to name."""
+        """Tell whether configuration, targets and caller blocks are loaded."""
         has_config = self.config is not None
         return has_config and bool(self.targets_by_zone) and self._callers.is_ready()
 
     def leave(self):
-        """Name this VM in no answer from now on."""
+        """Exclude this VM from all further responses."""
         self._is_leaving = True
         self._rebuild()
 
     def find_origin(self, caller):
         """Return the origin zone of a caller."""
         zone = self._callers.find_zone(caller)
-        # A site may name a zone that the configuration dropped since.
+        # A site may be listed in a zone that the configuration has removed.
         if zone and self.config and zone in self.config.region_by_zone:
             return zone
         return choose_origin(caller, self._zones)
@@ -85,7 +85,7 @@
     def rank_zones(self, caller, service, origin):
         """Return the zones for a caller: the plan's, then the nearest.
 
-        The nearest may hold zones of the plan once more.
+        A zone of the plan may occur again among the nearest.
         """
         weights, neighbours = self._get_ranking(service, origin)
         return rank_zones(caller, service, weights) + neighbours
@@ -96,7 +96,7 @@
         return choose_targets(caller, zones, self.targets_by_zone)
 
     def rank_targets(self, caller, zone):
-        """Return a zone's entry VMs in the order for a caller."""
+        """Return a zone's entry VMs, ranked for a caller."""
         return rank_targets(caller, self.targets_by_zone.get(zone, ()))
 
     def is_fresh(self, zone):
@@ -113,7 +113,10 @@
         return self._ranking_by_key[key]
 
     def _make_ranking(self, service, origin):
-        """Return the weights of the zones not drained, and the others."""
+        """Return the weights by zone and the serving zones, nearest first.
+
+        Drained zones are in neither of them.
+        """
         config = self.config
         weights = self._view.get_plan().get_weights(service, origin)
 
--- a/godwitlanding/daemons/services/summary.py
+++ b/godwitlanding/daemons/services/summary.py
@@ -1,8 +1,8 @@
 """Measures the zone's load and writes its summary to the platform.
 
-Each arbiter tells the member that writes what it measured; that one adds
-it up. The platform gets one write a zone and interval, and other zones
-learn of each other by these summaries alone.
+Each arbiter sends its measurements to the zone writer, which combines them.
+The platform receives one write for each zone and interval. Zones exchange
+information about their load only by these summaries.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 from godwitlanding.base.tasks import Tasks
 
 SUMMARY_KIND = "summary"
-# Not an object of the platform: what one arbiter tells the writer.
+# Sent by an arbiter to the zone writer; not an object of the platform.
 LOAD_KIND = "load"
 RATE_BY_COUNT = {
     "arrivals": "arrivals_per_s",
@@ -26,7 +26,7 @@
 
 
 class Summary(Service):
-    """Gathers loads and writes ``summary`` / zone."""
+    """Collects loads and writes the object ``summary/<zone>``."""
 
     name = "summary"
     needs = ("arbitration", "members", "replication", "platform", "configuration")
@@ -40,7 +40,7 @@
         self._sequence = 0
 
     async def start(self, kernel):
-        """Begin to measure."""
+        """Start measuring."""
         self._arbitration = kernel.get("arbitration")
         self._members = kernel.get("members")
         self._replication = kernel.get("replication")
@@ -51,11 +51,11 @@
         self._tasks.repeat(self._context.settings["summary_s"], self._measure)
 
     async def stop(self):
-        """End the measuring."""
+        """Stop measuring."""
         await self._tasks.stop()
 
     def get_status(self):
-        """Return the loads that this member was told of."""
+        """Return the loads that this member has received."""
         return {"sequence": self._sequence, "services": self._get_recent_loads()}
 
     def _now(self):
@@ -91,13 +91,13 @@
             "queued": status["queued"],
             "warm_share": permit_server.get_warm_share(now),
         }
-        before_at, before = self._counts_by_service.get(
+        previous_at, previous = self._counts_by_service.get(
             service, (now, permit_server.counts)
         )
-        elapsed_s = max(now - before_at, 0.001)
+        elapsed_s = max(now - previous_at, 0.001)
         for count, rate in RATE_BY_COUNT.items():
             row[rate] = round(
-                (permit_server.counts[count] - before[count]) / elapsed_s, 3
+                (permit_server.counts[count] - previous[count]) / elapsed_s, 3
             )
         self._counts_by_service[service] = (now, dict(permit_server.counts))
         return row
@@ -111,8 +111,8 @@
         self._load_by_service[state.name] = (self._now(), row)
 
     def _get_recent_loads(self):
-        # An arbiter that has died tells nothing more: its last word must
-        # not stand for a measurement.
+        # An arbiter that has ended sends nothing more; its last load must not
+        # be used as a current measurement.
         max_age_s = self._context.settings["summary_max_age_s"]
         now = self._now()
         return {
--- a/godwitlanding/daemons/services/tickets.py
+++ b/godwitlanding/daemons/services/tickets.py
@@ -14,7 +14,7 @@
 
 
 class Tickets(Service):
-    """Chooses a ticket's home in this zone, or another zone to issue it."""
+    """Issues a ticket with a home in this zone or redirects the caller."""
 
     name = "tickets"
     needs = ("feed", "routing")
@@ -25,19 +25,19 @@
         self._routing = None
 
     async def start(self, kernel):
-        """Find the view and the routing."""
+        """Look up the view and the routing."""
         self._view = kernel.get("feed").view
         self._routing = kernel.get("routing")
 
     def answer(self, caller, service, path, was_redirected):
-        """Return a response, or the refusal why there is no ticket.
+        """Return the response, or a refusal if no ticket can be issued.
 
-        ``was_sent`` tells that another zone sent the caller here.
+        ``was_redirected`` is true if another zone redirected the caller here.
         """
         origin = self._routing.find_origin(caller)
         ranked = self._routing.rank_zones(caller, service, origin)
-        # Two zones with different versions of the plan would send a caller
-        # back and forth; the one that it was sent to issues the ticket.
+        # Two zones with different versions of the plan would redirect a caller
+        # back and forth; the second zone issues the ticket.
         other = "" if was_redirected else self._find_redirect_url(caller, ranked)
         if other:
             self._context.counters.add("tickets_redirected", service=service)
@@ -78,11 +78,14 @@
         return None
 
     def _find_redirect_url(self, caller, ranked_zones):
-        """Return the URL of a steer of the planned zone, ``""`` for here."""
+        """Return the URL of a steer daemon of the planned zone.
+
+        Returns ``""`` if this zone issues the ticket.
+        """
         own = self._context.availability_zone
         serving = (z for z in ranked_zones if self._routing.targets_by_zone.get(z))
         zone = next(serving, own)
-        # A zone that is not heard of may be cut off, from callers as well.
+        # A zone without a recent summary may be unreachable for callers too.
         if zone == own or not self._routing.is_fresh(zone):
             return ""
         target = self._routing.rank_targets(caller, zone)[0]
--- a/godwitlanding/daemons/services/upstreamclient.py
+++ b/godwitlanding/daemons/services/upstreamclient.py
@@ -1,4 +1,4 @@
-"""Sends a request to one upstream, and its answer to the caller."""
+"""Sends a request to one upstream and its response to the caller."""
 
 import asyncio
 
@@ -21,8 +21,8 @@
     OUTCOME_TIMEOUT,
 )
 from godwitlanding.daemons.responsechecks import (
-    SMALL_RESPONSE_BYTES,
-    AttemptResult,
+    SMALL_ANSWER_BYTES,
+    Attempt,
     check_continuation,
     check_head,
     make_range_headers,
@@ -32,10 +32,10 @@
 )
 
 CONNECT_TIMEOUT_S = 1.0
-# Shorter than servers commonly keep an idle connection (5 s and more), so
-# that a request seldom meets a connection that is just being closed.
+# Shorter than the keep-alive timeout of common servers (5 s and more), so
+# that a request is seldom sent on a connection that is just being closed.
 KEEP_ALIVE_S = 3.0
-# Nobody listens there: the machine is up and the process is not.
+# No process listens on the port, but the machine is running.
 CONNECTION_REFUSED = "connection refused"
 READ_BUFFER_BYTES = 65_536
 _TIMEOUT = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
@@ -43,7 +43,7 @@
 
 
 class UpstreamClient(Service):
-    """Carries requests over HTTP/1.1."""
+    """Sends requests to upstreams over HTTP/1.1."""
 
     name = "upstreams"
 
@@ -63,12 +63,12 @@
         await self._session.close()
         await self._fresh_session.close()
 
-    async def dispatch(self, request, permit, sink):
-        """Send once to the permit's upstream; return an ``Attempt``.
+    async def dispatch(self, request, permit, response_writer):
+        """Send once to the permit's upstream; return an ``AttemptResult``.
 
-        The answer goes to ``sink`` as it comes. Nothing is raised but
-        ``CancelledError``, on which the connection is closed, so that the
-        upstream sees that nobody waits any more.
+        The response is streamed to ``response_writer``. Only
+        ``CancelledError`` is raised; the connection is then closed, so that
+        the upstream can detect that the response is no longer needed.
         """
         loop = asyncio.get_running_loop()
         end = min(permit.until, request.deadline)
@@ -77,38 +77,48 @@
         headers.append((UPSTREAM_REQUEST_ID, request.id))
         address = permit.upstream_address
         return await self.send(
-            request, address, request.target, headers, end, sink, read_upstream_refusal
+            request,
+            address,
+            request.target,
+            headers,
+            end,
+            response_writer,
+            read_upstream_refusal,
         )
 
-    async def send(self, request, address, target, headers, end, sink, read_refusal):
-        """Send once to ``address``, until ``end`` at most, as ``dispatch``.
+    async def send(
+        self, request, address, target, headers, end, response_writer, read_refusal
+    ):
+        """Send once to ``address`` as ``dispatch``, until ``end`` at most.
 
-        ``read_refusal(status, headers)`` returns the ``Attempt`` of an
-        answer that says the request was not run, else ``None``.
+        ``read_refusal(status, headers)`` returns the ``AttemptResult`` of a
+        response that reports the request as not run, else ``None``.
         """
         try:
             async with asyncio.timeout_at(end):
                 return await self._exchange(
-                    request, address, target, headers, sink, read_refusal
+                    request, address, target, headers, response_writer, read_refusal
                 )
-        # A connection that was never made carried nothing; its timeout is
-        # also a TimeoutError, so the order matters.
+        # Nothing was sent on a connection that was never established. Its
+        # timeout is also a TimeoutError, so the order of clauses matters.
         except aiohttp.ClientConnectorError as error:
             is_refused = isinstance(error.os_error, ConnectionRefusedError)
             detail = CONNECTION_REFUSED if is_refused else str(error)
-            return AttemptResult(OUTCOME_FAILED, RUN_NO, Code.UPSTREAM_FAILED, detail)
+            return Attempt(OUTCOME_FAILED, RUN_NO, Code.UPSTREAM_FAILED, detail)
         except aiohttp.ConnectionTimeoutError as error:
-            return AttemptResult(
-                OUTCOME_FAILED, RUN_NO, Code.UPSTREAM_FAILED, str(error)
-            )
+            return Attempt(OUTCOME_FAILED, RUN_NO, Code.UPSTREAM_FAILED, str(error))
         except TimeoutError:
-            return AttemptResult(OUTCOME_TIMEOUT, RUN_UNKNOWN, Code.UPSTREAM_TIMEOUT)
+            return Attempt(OUTCOME_TIMEOUT, RUN_UNKNOWN, Code.UPSTREAM_TIMEOUT)
         except (aiohttp.ClientError, OSError) as error:
-            return _make_disconnect_result(sink, repr(error))
-
-    async def _exchange(self, request, address, target, headers, sink, read_refusal):
-        if sink.started:
-            headers = headers + make_range_headers(sink.resume, sink.sent_bytes)
+            return _make_disconnect_result(response_writer, repr(error))
+
+    async def _exchange(
+        self, request, address, target, headers, response_writer, read_refusal
+    ):
+        if response_writer.started:
+            headers = headers + make_range_headers(
+                response_writer.resume, response_writer.sent_bytes
+            )
         if request.rest is not None and (length := request.get("content-length")):
             headers = headers + [("Content-Length", length)]
         async with self._choose_session(request, address).request(
@@ -123,25 +133,23 @@
             refused = read_refusal(response.status, response.headers)
             if refused:
                 return refused
-            fault = _check_response(request, response, sink)
+            fault = _check_response(request, response, response_writer)
             if fault:
                 response.close()
-                return AttemptResult(
-                    OUTCOME_FAILED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, fault
-                )
-            await _copy_response(request, response, sink)
+                return Attempt(OUTCOME_FAILED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, fault)
+            await _copy_response(request, response, response_writer)
             outcome = OUTCOME_FAILED if response.status >= 500 else OUTCOME_OK
-            return AttemptResult(outcome, RUN_YES)
+            return Attempt(outcome, RUN_YES)
 
     def _choose_session(self, request, address):
         """Return the session whose connections are safe for the request.
 
-        An upstream that answers twice leaves the second answer on the kept
-        connection, where the next request would take it for its own; the
-        echoed request id shows that, so an upstream that echoes none, or
-        ever echoed another's, gets a new connection each time. So does
-        non-idempotent work: a kept connection that closes while it is sent
-        leaves its fate unknown.
+        An upstream that responds twice leaves the second response on the
+        kept-alive connection, where it would be read as the response to the
+        next request. The echoed request id reveals this, so an upstream that
+        echoes no id, or has ever echoed a wrong one, gets a new connection
+        for each request. So does a non-idempotent request: if a kept-alive
+        connection closes while it is sent, its outcome is unknown.
         """
         if request.is_idempotent and self._echoes_id_by_address.get(address):
             return self._session
@@ -156,17 +164,18 @@
             self._echoes_id_by_address.setdefault(address, echoed_id is not None)
 
 
-def _make_disconnect_result(sink, detail):
-    """Return the ``Attempt`` of a connection that broke.
+def _make_disconnect_result(response_writer, detail):
+    """Return the ``AttemptResult`` of a connection that was interrupted.
 
-    One that gave no whole answer counts as a crash, for which the request
-    may be to blame. One that broke after a good part of a long answer does
-    not: two breaks would stop a bundle that another upstream can complete.
+    Before the response has been started it counts as a crash, which the
+    request may have caused. Once part of a long response has been sent it
+    does not: two interruptions would reject the request as poison although
+    another upstream can complete the response.
     """
-    if sink.started:
+    if response_writer.started:
         code = Code.UPSTREAM_TRUNCATED
-        return AttemptResult(OUTCOME_FAILED, RUN_UNKNOWN, code, detail)
-    return AttemptResult(OUTCOME_CRASHED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, detail)
+        return Attempt(OUTCOME_FAILED, RUN_UNKNOWN, code, detail)
+    return Attempt(OUTCOME_CRASHED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, detail)
 
 
 def _make_session(**connector_options):
@@ -192,28 +201,37 @@
     return stream()
 
 
-def _check_response(request, response, sink):
+def _check_response(request, response, response_writer):
     fault = check_head(request, response.status, response.headers)
-    if fault or not sink.started:
+    if fault or not response_writer.started:
         return fault
     return check_continuation(
-        sink.resume, sink.sent_bytes, response.status, response.headers
+        response_writer.resume,
+        response_writer.sent_bytes,
+        response.status,
+        response.headers,
     )
 
 
-async def _copy_response(request, response, sink):
+async def _copy_response(request, response, response_writer):
     headers = select_response_headers(response.headers.items())
     length = read_length(response.headers)
-    # A short answer is read whole first: the slot is free without waiting
-    # for the caller to read, and one that breaks off has not been begun.
-    if not sink.started and length is not None and length <= SMALL_RESPONSE_BYTES:
+    # A short response is buffered first: the slot becomes free without waiting
+    # for the caller to read, and an interrupted response has not been started.
+    if (
+        not response_writer.started
+        and length is not None
+        and length <= SMALL_ANSWER_BYTES
+    ):
         body = await response.read()
-        await sink.start(response.status, headers)
-        await sink.finish(body)
+        await response_writer.start(response.status, headers)
+        await response_writer.finish(body)
         return
-    if not sink.started:
-        sink.resume = make_resume_point(request, response.status, response.headers)
-        await sink.start(response.status, headers)
+    if not response_writer.started:
+        response_writer.resume = make_resume_point(
+            request, response.status, response.headers
+        )
+        await response_writer.start(response.status, headers)
     async for chunk in response.content.iter_any():
-        await sink.write(chunk)
-    await sink.finish()
+        await response_writer.write(chunk)
+    await response_writer.finish()
--- a/godwitlanding/tests/daemons/test_chaos.py
+++ b/godwitlanding/tests/daemons/test_chaos.py
@@ -1,4 +1,4 @@
-"""Schedules of faults in pairs that have shown a fault, kept as they were."""
+"""Regression tests: seeds of random fault schedules that once failed."""
 
 import pytest
 
@@ -8,10 +8,10 @@
 
 @pytest.mark.parametrize("seed", [9])
 async def test_fault_schedule_passes(seed, tmp_path):
-    """Two things at a time break under load, three times in a row.
+    """Two faults at a time occur under load, three times in succession.
 
-    Seed 9: a daemon that had been started again told callers "not run" of
-    payments that its predecessor had run.
+    Seed 9: a restarted daemon reported "not run" to callers for payments
+    that the previous process had run.
     """
     verdict, names = await run_seed(seed, claim_test_network(), log_directory=tmp_path)
     assert verdict.faults == (), names
--- a/godwitlanding/tests/daemons/test_processes.py
+++ b/godwitlanding/tests/daemons/test_processes.py
@@ -1,8 +1,8 @@
-"""The promises with real processes, where only those show them.
+"""Tests guarantees that can only be verified with real processes.
 
-Each test starts a small system, breaks something under load and waits for
-what has to come true, with generous limits. What callers and upstreams
-counted decides.
+Each test starts a small cluster, causes a fault under load and waits, with
+generous time limits, for the expected state. The result is decided by what
+callers and upstreams have counted.
 """
 
 import asyncio
@@ -24,29 +24,29 @@
 
 
 class LoadedCluster:
-    """A cluster with load on it."""
+    """Runs a cluster under load."""
 
     def __init__(self, network, directory):
         self.cluster = Cluster(CONFIG_TEXT, network, log_directory=directory)
         self.load = None
 
     async def start(self):
-        """Start the cluster and the load; wait until each kind is served."""
+        """Start the cluster and the load; wait until each service serves."""
         await self.cluster.start()
         self.load = Load(self.cluster)
         await self.load.start(*RATES)
         await self.serve(1.0)
 
     async def serve(self, seconds, services=()):
-        """Wait until as many requests are complete as come in so long."""
+        """Wait for as many completed requests as arrive in ``seconds``."""
         await self.load.serve(seconds, services)
 
     async def finish(self, may_cut=False, drained=()):
-        """End the load and return what it has shown."""
+        """End the load and return its verdict."""
         return await self.load.judge(drained, may_cut)
 
     async def get_config_versions(self):
-        """Return the version of the text that each daemon has in force."""
+        """Return the configuration version that each daemon uses."""
         keys = [(vm, role) for vm in self.cluster.vm_by_name for role in ROLES]
         statuses = await asyncio.gather(
             *(self.cluster.get_status(*key) for key in keys)
@@ -54,7 +54,7 @@
         return [status["versions"].get("config/main", 0) for status in statuses]
 
     async def find_arbiter(self, service, zone):
-        """Return the VM whose zone daemon is the arbiter."""
+        """Return the VM whose zone daemon is the service's arbiter."""
         vms = [
             v for v in self.cluster.vm_by_name.values() if v.availability_zone == zone
         ]
@@ -78,10 +78,10 @@
 
 
 async def test_killed_arbiter_is_replaced(run):
-    """The VM that grants the permits of its zone is killed under load.
+    """The arbiter's VM is killed under load.
 
-    Callers of that zone are refused for a while and served again, and no
-    upstream is given more than its slots by the two arbiters in turn.
+    Callers of its zone may be refused for a while and must be served again.
+    The two successive arbiters together must not exceed an upstream's slots.
     """
     await run.cluster.kill_vm(await run.find_arbiter("status", "north-a"))
     await run.serve(3.0)
@@ -91,10 +91,10 @@
 
 @pytest.mark.parametrize("roles", [("zone",), ("entry",), ("zone", "entry")])
 async def test_resumed_daemons_exceed_no_slots_and_repeat_no_work(run, roles):
-    """A VM is paused for longer than its loans and permits last.
+    """A VM is paused for longer than its loans and permits are valid.
 
-    When it goes on it still believes that it may grant and dispatch; an
-    upstream would run more than its slots and a payment might run twice.
+    If it still granted and dispatched by them after it resumes, an upstream
+    would run more requests than it has slots and a payment might run twice.
     """
     vm = await run.find_arbiter("renewal", "north-a")
     for role in roles:
@@ -109,10 +109,10 @@
 
 @pytest.mark.parametrize("outage", ["refuse", "hang"])
 async def test_callers_are_served_during_a_platform_outage(run, outage):
-    """The platform is away while payments are made.
+    """The platform is unavailable while payments are made.
 
-    Payments that were begun before are settled, new ones are taken on
-    tickets that need no platform, and nothing runs twice.
+    Payments that were started before must complete, new ones are accepted
+    with tickets that need no platform, and none may run twice.
     """
     await run.cluster.standins.set_faults(outage=outage)
     await run.serve(3.0)
@@ -123,10 +123,10 @@
 
 
 async def test_zone_without_the_platform_keeps_serving(run, tmp_path):
-    """One zone loses its way to the platform; a change is applied meanwhile.
+    """One zone cannot reach the platform while a change is applied.
 
-    Its callers are served by its own upstreams, payments included, and the
-    change comes in force there once it is connected again.
+    Its own upstreams must serve its callers, payments included, and the
+    change must take effect there once the zone is connected again.
     """
     cluster = run.cluster
     await cluster.cut_from_platform("north-a")
@@ -135,7 +135,9 @@
         status = await cluster.get_status(VM, "zone")
         return not status["services"]["members"]["platform_reachable"]
 
-    await wait_until(is_detected, LIMIT_S, "the zone to notice that it is cut off")
+    await wait_until(
+        is_detected, LIMIT_S, "the zone to detect that the platform is unreachable"
+    )
     path = tmp_path / "newer.json5"
     path.write_text(cluster.text.replace("work_s: 0.04", "work_s: 0.041"))
     await cluster.run_ctl("apply", str(path), "--yes")
@@ -145,16 +147,16 @@
     async def is_everywhere():
         return len(set(await run.get_config_versions())) == 1
 
-    await wait_until(is_everywhere, LIMIT_S, "the change to be in force everywhere")
+    await wait_until(is_everywhere, LIMIT_S, "the change to take effect everywhere")
     verdict = await run.finish()
     assert verdict.faults == ()
 
 
 async def test_lost_responses_to_journal_writes(run):
-    """The platform does writes of the journal and loses the answers.
+    """The platform applies journal writes but their responses are lost.
 
-    A payment that is sent again because its claim seemed to have failed
-    would charge a pensioner twice.
+    A payment that is sent again because the write of its claim appeared to
+    have failed would be charged to a pensioner twice.
     """
     await run.cluster.standins.set_faults(lost_answers=10, lost_kind="journal")
 
@@ -162,7 +164,7 @@
         stats = await run.cluster.standins.get_platform_stats()
         return stats.get("lost_answers", 0) >= 10
 
-    await wait_until(are_lost, LIMIT_S, "10 writes of the journal to lose answers")
+    await wait_until(are_lost, LIMIT_S, "the responses of 10 journal writes to be lost")
     await run.serve(3.0, ("renewal",))
     verdict = await run.finish()
     assert verdict.faults == ()
@@ -170,21 +172,21 @@
 
 
 SWITCHES_BY_SIGN = {
-    "its own word": {"draining": True},
-    "its health alone": {"draining": True, "refuses_when_draining": False},
+    "refusals and health": {"draining": True},
+    "health only": {"draining": True, "refuses_when_draining": False},
 }
 
 
-@pytest.mark.parametrize("sign", ["operators' text", *SWITCHES_BY_SIGN])
+@pytest.mark.parametrize("sign", ["configuration", *SWITCHES_BY_SIGN])
 async def test_draining_upstream_gets_no_new_requests(run, sign):
-    """An upstream is to be stopped, and one source alone says so.
+    """An upstream will be stopped and only one source reports it.
 
-    Work that goes on being sent there would be cut off when it stops.
+    Requests that are still sent there would be interrupted when it stops.
     """
     upstream_id = "status-a-1"
     switches = SWITCHES_BY_SIGN.get(sign)
     if switches is None:
-        switches = {**SWITCHES_BY_SIGN["its health alone"], "health": "always_ok"}
+        switches = {**SWITCHES_BY_SIGN["health only"], "health": "always_ok"}
         await run.cluster.run_ctl("drain", "upstream", upstream_id, "--yes")
     await run.cluster.standins.change_upstream(upstream_id, **switches)
 
@@ -197,7 +199,7 @@
         await run.serve(1.0, ("status",))
         return await count_sent() == before
 
-    await wait_until(gets_no_requests, LIMIT_S, "the upstream to get nothing new")
+    await wait_until(gets_no_requests, LIMIT_S, "the upstream to get no new requests")
     before = await count_sent()
     await run.serve(3.0, ("status",))
     assert await count_sent() == before
@@ -206,10 +208,10 @@
 
 
 async def test_poison_request_is_rejected_after_two_crashes(run):
-    """A request crashes each upstream that runs it; its caller sends it again.
+    """A request crashes each upstream that runs it; its caller retries it.
 
-    Sent on, it would take down one licensed copy after the other, and with
-    them the requests of everyone else that run there.
+    If it were sent to further upstreams, it would crash one licensed copy
+    after another, together with the other requests that run there.
     """
     caller = run.load.callers[0]
     for _ in range(5):
@@ -224,8 +226,8 @@
 async def test_planned_stop_interrupts_no_request(run):
     """An entry VM is stopped as planned under load, downloads included.
 
-    Callers that still hold an answer which names it must not meet a closed
-    port or an answer that breaks off.
+    Callers that still hold a steer response with this VM must not get a
+    refused connection or an interrupted response.
     """
     codes = await run.cluster.stop_vm(VM)
     assert codes == [0, 0, 0]
@@ -239,8 +241,8 @@
 async def test_zone_is_replaced_vm_by_vm(run):
     """Every entry VM of a zone is replaced by a new one, one after another.
 
-    A wave of replacements cuts off nobody, and its upstreams pass from
-    the old VMs to the new ones.
+    The replacements must interrupt no request, and the upstreams must be
+    handed over from the old VMs to the new ones.
     """
     cluster = run.cluster
     for number in (1, 2):
@@ -255,10 +257,10 @@
 
 
 async def test_concurrent_applies_conflict(run, tmp_path):
-    """Two operators apply different texts that were based on one version.
+    """Two operators apply different configurations based on one version.
 
-    One is told that it came second; the other's text is in force on every
-    VM and stays so.
+    Exactly one must succeed and the other must get a version conflict, or
+    one change would silently overwrite the other.
     """
     cluster = run.cluster
     paths = [tmp_path / f"operator-{number}.json5" for number in (1, 2)]
@@ -273,9 +275,9 @@
 
 
 async def test_older_platform_backup_does_not_revert_the_configuration(run, tmp_path):
-    """The platform comes back from a backup that is older than the text.
+    """The platform is restored from a backup older than the configuration.
 
-    A change that operators saw in force would disappear.
+    A change that operators saw in effect would be reverted.
     """
     cluster = run.cluster
     before = await run.get_config_versions()
@@ -288,7 +290,7 @@
         versions = await run.get_config_versions()
         return len(set(versions)) == 1 and versions[0] > max(before)
 
-    await wait_until(is_everywhere, LIMIT_S, "the change to be in force everywhere")
+    await wait_until(is_everywhere, LIMIT_S, "the change to take effect everywhere")
     newest = await run.get_config_versions()
     await cluster.standins.restore()
     await run.serve(3.0)
--- a/godwitlanding/tests/daemons/test_shift.py
+++ b/godwitlanding/tests/daemons/test_shift.py
@@ -1,4 +1,4 @@
-"""A shift of traffic as callers see it, with real processes."""
+"""Tests a traffic shift with real processes, as measured by callers."""
 
 import asyncio
 import itertools
@@ -17,38 +17,40 @@
 LIMIT_S = 90.0
 POLL_S = 0.5
 SAMPLES_AFTER_ARRIVAL = 4
-# So few callers do not split exactly as the weights say.
+# The shares of so few callers differ from the weights by up to this.
 SAMPLING_ERROR = 0.08
 
 
 class OriginSurvey:
-    """Asks where the callers of one zone are told to go."""
+    """Measures to which zones the callers of one origin zone are sent."""
 
     def __init__(self, url, session):
         self._url = url
         self._session = session
         self.callers = []
 
-    async def ask(self, caller):
-        """Return the answer for a caller."""
+    async def fetch_response(self, caller):
+        """Return the steer response for a caller."""
         headers = {"X-Caller": caller}
-        async with self._session.get(self._url, headers=headers) as answer:
-            return await answer.json()
+        async with self._session.get(self._url, headers=headers) as response:
+            return await response.json()
 
     async def find_callers(self, origin_zone):
-        """Find callers that belong to a zone."""
+        """Find callers whose origin is a zone."""
         number = 0
         while len(self.callers) < CALLERS:
             name = f"office-{number}"
-            if (await self.ask(name))["origin_zone"] == origin_zone:
+            if (await self.fetch_response(name))["origin_zone"] == origin_zone:
                 self.callers.append(name)
             number += 1
 
     async def measure(self, zone):
-        """Return the share of the callers whose first choice is in a zone."""
-        answers = await asyncio.gather(*(self.ask(name) for name in self.callers))
+        """Return the share of callers whose first choice is in a zone."""
+        responses = await asyncio.gather(
+            *(self.fetch_response(name) for name in self.callers)
+        )
         first_choices = [
-            answer["choices"][0]["availability_zone"] for answer in answers
+            response["choices"][0]["availability_zone"] for response in responses
         ]
         return first_choices.count(zone) / len(first_choices)
 
@@ -56,8 +58,9 @@
 async def test_shift_moves_callers_by_capped_steps(tmp_path):
     """Operators move half of a zone's callers to another region.
 
-    Callers moved faster than the cap arrive at cold caches, and the upstreams
-    there are overloaded before anyone sees it.
+    Guards against a shift that exceeds its cap: callers that move faster
+    arrive at upstreams with cold caches and overload them before the overload
+    is detected.
     """
     settings = {"steer_max_age_s": MAX_AGE_S}
     cluster = Cluster(
@@ -77,24 +80,24 @@
             options = "--service status --from north-a --to south-a --share 0.5"
             options += f" --cap-share {CAP_SHARE} --step {STEP_S} --yes"
             await cluster.run_ctl("shift", "move", *options.split())
-            samples = await follow(survey)
+            samples = await sample_until_arrived(survey)
     finally:
         await cluster.stop()
     assert max(share for _, share in samples) <= SHARE + SAMPLING_ERROR
-    for (before_at, before), (at, share) in itertools.pairwise(samples):
-        # On a busy machine more than one step may fall between two looks.
-        steps = 1 + (at - before_at) // STEP_S
-        assert share - before <= steps * CAP_SHARE + SAMPLING_ERROR, samples
+    for (previous_at, previous_share), (at, share) in itertools.pairwise(samples):
+        # On a busy machine more than one step may occur between two samples.
+        steps = 1 + (at - previous_at) // STEP_S
+        assert share - previous_share <= steps * CAP_SHARE + SAMPLING_ERROR, samples
 
 
-async def follow(survey):
-    """Return times and shares as seen until the shift has arrived."""
+async def sample_until_arrived(survey):
+    """Sample times and shares until the shift has reached its target."""
     loop = asyncio.get_running_loop()
     samples = [(loop.time(), 0.0)]
-    rest = SAMPLES_AFTER_ARRIVAL
+    remaining_samples = SAMPLES_AFTER_ARRIVAL
     async with asyncio.timeout(LIMIT_S):
-        while rest:
+        while remaining_samples:
             await asyncio.sleep(POLL_S)
             samples.append((loop.time(), await survey.measure("south-a")))
-            rest -= samples[-1][1] >= SHARE - SAMPLING_ERROR
+            remaining_samples -= samples[-1][1] >= SHARE - SAMPLING_ERROR
     return samples
--- a/godwitlanding/tests/daemons/test_steer.py
+++ b/godwitlanding/tests/daemons/test_steer.py
@@ -1,4 +1,4 @@
-"""The answers of a steer process, over HTTP."""
+"""Tests the HTTP responses of a steer process."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 
 def find_port(address):
-    """Return a free port, so that runs of the tests do not meet."""
+    """Return a free port, so that concurrent test runs do not collide."""
     with socket.socket() as probe:
         probe.bind((address, 0))
         return probe.getsockname()[1]
@@ -92,9 +92,10 @@
 
 
 async def test_x_forwarded_for_from_a_caller_is_ignored():
-    """A caller sends X-Forwarded-For though no proxy stands before us.
+    """A caller sends X-Forwarded-For although there is no proxy in front.
 
-    Believed, it would be served as somebody else and at that one's cost.
+    If the header were trusted, the caller would be served as another caller
+    and use up that caller's share.
     """
     clients = []
 
@@ -135,7 +136,7 @@
 
 
 class SteerHarness:
-    """A steer process's services, fed by hand."""
+    """Runs the services of a steer process; tests supply the states."""
 
     def __init__(self):
         settings = check_settings(SETTINGS).unwrap()
@@ -147,7 +148,7 @@
         for state in states:
             self.context.replica.offer(state)
 
-    async def ask(self, path, method="GET", caller="10.0.0.1"):
+    async def fetch(self, path, method="GET", caller="10.0.0.1"):
         headers = {"X-Caller": caller}
         async with self.session.request(
             method,
@@ -160,17 +161,17 @@
 
 
 @pytest.fixture
-async def steer():
-    steer = SteerHarness()
-    await steer.kernel.start()
-    async with aiohttp.ClientSession() as steer.session:
-        yield steer
-    await steer.kernel.stop()
+async def harness():
+    harness = SteerHarness()
+    await harness.kernel.start()
+    async with aiohttp.ClientSession() as harness.session:
+        yield harness
+    await harness.kernel.stop()
 
 
-async def test_lookup_returns_ordered_targets(steer):
-    steer.offer(*BASE_STATES)
-    response, body = await steer.ask("/v1/steer/status")
+async def test_lookup_returns_ordered_targets(harness):
+    harness.offer(*BASE_STATES)
+    response, body = await harness.fetch("/v1/steer/status")
     assert response.status == 200
     assert response.headers["Cache-Control"] == "private, max-age=0.3"
     choices = body.pop("choices")
@@ -179,7 +180,7 @@
     assert choices[0]["url"].endswith(":7002/s/status")
     assert body["origin_zone"] in ("za", "zb", "zc")
     assert (body["config_version"], body["plan_version"]) == (4, 1)
-    assert (await steer.ask("/v1/steer/status"))[1]["choices"] == choices
+    assert (await harness.fetch("/v1/steer/status"))[1]["choices"] == choices
 
 
 @pytest.mark.parametrize(
@@ -193,21 +194,21 @@
         (BASE_STATES, "/v1/tickets/nothing", "POST", 404, "UNKNOWN_SERVICE"),
     ],
 )
-async def test_refusals_have_a_code(steer, states, path, method, status, name):
-    steer.offer(*states)
-    response, body = await steer.ask(path, method)
+async def test_refusals_have_a_code(harness, states, path, method, status, name):
+    harness.offer(*states)
+    response, body = await harness.fetch(path, method)
     assert response.status == status
     assert body["name"] == name
     assert body["run"] == "no"
     assert ("Retry-After" in response.headers) == (status == 503)
-    assert steer.context.counters.get("steer_refused", code=name) == 1
+    assert harness.context.counters.get("steer_refused", code=name) == 1
 
 
-async def test_new_plan_is_used_by_the_next_response(steer):
-    steer.offer(*BASE_STATES)
-    assert (await steer.ask("/v1/steer/status"))[1]["choices"][0]["vm"][0] == "a"
-    steer.offer(make_plan({"zb": 1.0}, version=2))
-    body = (await steer.ask("/v1/steer/status"))[1]
+async def test_new_plan_is_used_by_the_next_response(harness):
+    harness.offer(*BASE_STATES)
+    assert (await harness.fetch("/v1/steer/status"))[1]["choices"][0]["vm"][0] == "a"
+    harness.offer(make_plan({"zb": 1.0}, version=2))
+    body = (await harness.fetch("/v1/steer/status"))[1]
     assert body["choices"][0]["vm"] == "b1"
     assert body["plan_version"] == 2
 
@@ -223,76 +224,78 @@
         State("summary", "zb", 9, b"[]"),
     ],
 )
-async def test_unreadable_object_changes_nothing(steer, state):
-    """An object arrives that this process cannot read.
+async def test_unreadable_object_changes_nothing(harness, state):
+    """An object arrives that this process cannot parse.
 
-    Callers go on getting the answers of the last one that could be read.
+    Callers must still get responses based on the last valid object.
     """
-    steer.offer(*BASE_STATES)
-    before = (await steer.ask("/v1/steer/status"))[1]["choices"]
-    steer.offer(state)
-    assert (await steer.ask("/v1/steer/status"))[1]["choices"] == before
+    harness.offer(*BASE_STATES)
+    before = (await harness.fetch("/v1/steer/status"))[1]["choices"]
+    harness.offer(state)
+    assert (await harness.fetch("/v1/steer/status"))[1]["choices"] == before
 
 
 @pytest.mark.parametrize(
     ("reachable", "kind"), [(True, "journaled"), (False, "memory")]
 )
-async def test_ticket_names_a_home_in_this_zone(steer, reachable, kind):
-    """The home's VM may be cut off from the platform.
+async def test_ticket_names_a_home_in_this_zone(harness, reachable, kind):
+    """The home's VM may be unable to reach the platform.
 
-    A journaled ticket would then be refused until the cut heals, so the
-    ticket is one that the home's memory keeps.
+    A journaled ticket would be refused until the connection is restored, so
+    a ticket whose record is kept in the home's memory must be issued.
     """
     members = [
         make_member("a1", 1, platform_reachable=reachable),
         make_member("a2", 2, alive=False),
     ]
-    steer.offer(*BASE_STATES[:-1], make_members(*members))
-    response, body = await steer.ask("/v1/tickets/status", "POST")
+    harness.offer(*BASE_STATES[:-1], make_members(*members))
+    response, body = await harness.fetch("/v1/tickets/status", "POST")
     assert response.status == 201
     assert response.headers["Cache-Control"] == "no-store"
     ticket = read_ticket(KEY, body["ticket"]).unwrap()
     assert (ticket.service, ticket.kind) == ("status", kind)
     assert (ticket.home_vm, ticket.home_incarnation) == ("a1", "a1-i")
     assert body["url"] == "http://127.0.50.1:7002/s/status"
-    again = (await steer.ask("/v1/tickets/status", "POST"))[1]["ticket"]
+    again = (await harness.fetch("/v1/tickets/status", "POST"))[1]["ticket"]
     assert again != body["ticket"]
 
 
 @pytest.mark.parametrize(
-    ("heard", "query", "status"),
+    ("has_summary", "query", "status"),
     [(True, "", 307), (False, "", 201), (True, "?from=zb", 201)],
 )
-async def test_ticket_is_issued_in_the_planned_zone(steer, heard, query, status):
-    """The plan sends the caller to a zone that may be cut off from this one.
+async def test_ticket_is_issued_in_the_planned_zone(
+    harness, has_summary, query, status
+):
+    """The plan assigns the caller to a zone that may be unreachable.
 
-    Sent to a zone that cannot be reached, the caller would get no ticket;
-    sent back and forth by two versions of the plan, none either.
+    A caller redirected to an unreachable zone would get no ticket. Nor would
+    one that two zones with different plan versions redirect back and forth.
     """
-    steer.offer(*BASE_STATES, make_plan({"zb": 1.0}, version=2))
-    if heard:
-        steer.offer(make_state("summary", "zb", {"leaving_vms": []}))
-    response, _ = await steer.ask(f"/v1/tickets/status{query}", "POST")
+    harness.offer(*BASE_STATES, make_plan({"zb": 1.0}, version=2))
+    if has_summary:
+        harness.offer(make_state("summary", "zb", {"leaving_vms": []}))
+    response, _ = await harness.fetch(f"/v1/tickets/status{query}", "POST")
     assert response.status == status
     if status == 307:
         expected = f"http://127.0.50.3:{PORT}/v1/tickets/status?from=za"
         assert response.headers["Location"] == expected
 
 
-async def test_stopping_vm_is_left_out_of_responses(steer):
-    """A VM is stopped while callers keep asking it where to go.
+async def test_stopping_vm_is_left_out_of_responses(harness):
+    """A VM is stopped while callers keep sending lookups to it.
 
-    Named in an answer it would be found gone a moment later.
+    A response that contains this VM would send callers to a stopped process.
     """
-    steer.offer(*BASE_STATES)
-    steer.kernel.get("routing").leave()
-    body = (await steer.ask("/v1/steer/status"))[1]
+    harness.offer(*BASE_STATES)
+    harness.kernel.get("routing").leave()
+    body = (await harness.fetch("/v1/steer/status"))[1]
     assert [choice["vm"] for choice in body["choices"]][0] == "a2"
     assert "a1" not in [choice["vm"] for choice in body["choices"]]
-    response, _ = await steer.ask("/v1/steer/status")
+    response, _ = await harness.fetch("/v1/steer/status")
     assert response.headers.get("Connection") is None
-    steer.kernel.get("answers").close_connections()
-    response, _ = await steer.ask("/v1/steer/status")
+    harness.kernel.get("answers").close_connections()
+    response, _ = await harness.fetch("/v1/steer/status")
     assert response.headers["Connection"] == "close"
 
 
@@ -307,42 +310,42 @@
     ("caller", "zones"),
     [("10.9.8.7", ["zc"]), ("11.0.0.1", ["za", "zb", "zc"]), ("9.0.0.1", "za zb zc")],
 )
-async def test_listed_caller_belongs_to_its_sites_zone(steer, caller, zones):
-    steer.offer(*BASE_STATES, *make_block_states())
-    body = (await steer.ask("/v1/steer/status", caller=caller))[1]
+async def test_listed_caller_belongs_to_its_sites_zone(harness, caller, zones):
+    harness.offer(*BASE_STATES, *make_block_states())
+    body = (await harness.fetch("/v1/steer/status", caller=caller))[1]
     assert body["origin_zone"] in zones
-    held = steer.context.replica.get("blocks", "piece-0000")
+    held = harness.context.replica.get("blocks", "piece-0000")
     assert (held.version, held.body) == (1, b"")
 
 
-async def test_incomplete_blocks_are_not_used(steer):
-    """A new VM has some of the blocks when callers begin to ask it.
+async def test_incomplete_blocks_are_not_used(harness):
+    """A new VM has only some of the blocks when the first lookups arrive.
 
-    Answered now, a listed caller would be sent to the zone of a hash and
-    a moment later to another.
+    If it responded now, a listed caller would be sent to a zone chosen by a
+    hash and a moment later to the zone of its site.
     """
     piece, marker = make_block_states()
-    steer.offer(*BASE_STATES, piece)
-    assert (await steer.ask("/v1/steer/status"))[0].status == 503
-    assert (await steer.ask("/-/health"))[0].status == 503
-    steer.offer(marker)
-    assert (await steer.ask("/v1/steer/status"))[0].status == 200
-    assert (await steer.ask("/-/health"))[0].status == 200
+    harness.offer(*BASE_STATES, piece)
+    assert (await harness.fetch("/v1/steer/status"))[0].status == 503
+    assert (await harness.fetch("/-/health"))[0].status == 503
+    harness.offer(marker)
+    assert (await harness.fetch("/v1/steer/status"))[0].status == 200
+    assert (await harness.fetch("/-/health"))[0].status == 200
 
 
-async def test_planned_stop_interrupts_no_lookup(steer):
-    """The process is stopped while callers ask it without a pause.
+async def test_planned_stop_interrupts_no_lookup(harness):
+    """The process is stopped while callers send lookups continuously.
 
-    Each is answered, by another VM's name, until nobody listens any more;
-    a caller that is cut off would wait for its own timeout.
+    Each lookup must get a response with another VM until the port is closed.
+    A caller whose lookup is interrupted would wait for its own timeout.
     """
-    steer.offer(*BASE_STATES)
-    stopping = asyncio.ensure_future(steer.kernel.stop())
+    harness.offer(*BASE_STATES)
+    stopping = asyncio.ensure_future(harness.kernel.stop())
     await asyncio.sleep(0)
-    answers = []
+    responses = []
     with pytest.raises(aiohttp.ClientConnectorError):
         while True:
-            response, body = await steer.ask("/v1/steer/status")
-            answers.append((response.status, body["choices"][0]["vm"]))
-    assert set(answers) == {(200, "a2")}
+            response, body = await harness.fetch("/v1/steer/status")
+            responses.append((response.status, body["choices"][0]["vm"]))
+    assert set(responses) == {(200, "a2")}
     await stopping
--- a/godwitlanding/tests/daemons/test_zone.py
+++ b/godwitlanding/tests/daemons/test_zone.py
@@ -1,4 +1,4 @@
-"""Zone daemons together: members, replicas, permits, drains, the planner."""
+"""Tests several zone daemons together, with an in-memory network."""
 
 import asyncio
 import json
@@ -72,7 +72,10 @@
 
 
 async def test_change_reaches_every_process_by_two_watchers():
-    """A change is accepted; only two members read the platform for it."""
+    """A change must reach every process while only two members watch.
+
+    If all members watched, the load on the platform would grow with VMs.
+    """
     async with run_zone() as zone:
         version = await change_config_text(zone, make_config_text(comment="new"))
         await asyncio.sleep(0.1)
@@ -89,9 +92,10 @@
 
 @pytest.mark.parametrize("seeds", [(), ("10.0.0.1",)])
 async def test_vm_started_while_the_platform_is_away(seeds):
-    """A VM is replaced during an outage of the platform.
+    """A VM is started during an outage of the platform.
 
-    It serves by what its peers hold; with nobody to ask it stays unready.
+    With a seed it must serve with the objects of its peers; without one it
+    must stay unready.
     """
     async with run_zone(("vm1", "vm2")) as zone:
         zone.store.set_available(False)
@@ -107,7 +111,10 @@
 
 
 async def test_older_platform_state_is_rejected_and_reported():
-    """The platform is restored from a backup and offers an older text."""
+    """The platform is restored from a backup with an older configuration.
+
+    If the daemons adopted it, they would revert an accepted change.
+    """
     async with run_zone(("vm1", "vm2")) as zone:
         backup = zone.store.objects.take_snapshot()
         version = await change_config_text(zone, make_config_text(comment="new"))
@@ -139,7 +146,10 @@
     "drain", [drain_by_configuration, drain_by_signal, drain_by_probe]
 )
 async def test_leaving_upstream_gets_no_new_permits(drain):
-    """An upstream leaves; the first of three sources that says so counts."""
+    """An upstream drains, and only one of three sources reports it.
+
+    Requests granted to it afterwards would be interrupted when it stops.
+    """
     async with run_zone() as zone:
         arbiter = get_arbiter(zone)
         others = set(UPSTREAMS) - {"s-1"}
@@ -152,7 +162,7 @@
 
 
 async def test_killed_arbiter_is_replaced():
-    """An arbiter dies; its service is granted again by another member."""
+    """An arbiter is killed; another member must grant its permits again."""
     async with run_zone() as zone:
         arbiter = get_arbiter(zone)
         del zone.daemon_by_vm[arbiter.vm]
@@ -165,7 +175,7 @@
 
 
 async def test_stopping_daemon_hands_over_its_upstreams():
-    """A VM is stopped as planned: its slots stay in use without a pause."""
+    """A VM is stopped as planned; its slots must stay usable meanwhile."""
     async with run_zone() as zone:
         arbiter = get_arbiter(zone)
         del zone.daemon_by_vm[arbiter.vm]
@@ -180,28 +190,32 @@
 
 
 async def test_isolated_member_keeps_its_own_upstreams():
-    """A member is cut off from its zone: nobody else uses its upstreams."""
+    """A member is partitioned from its zone.
+
+    It must keep granting its own upstreams and no other member may, or their
+    slots would be exceeded.
+    """
     async with run_zone() as zone:
         daemons = list(zone.daemon_by_vm.values())
         isolated = daemons[0]
-        own = set(isolated.get("lending").get_status()["loan_by_upstream"])
+        own_upstreams = set(isolated.get("lending").get_status()["loan_by_upstream"])
         for other in daemons[1:]:
             zone.network.cuts.add(frozenset((isolated.vm, other.vm)))
         await asyncio.sleep(8)
         answers = await asyncio.gather(
-            *(acquire(isolated, isolated, n) for n in range(len(own)))
+            *(acquire(isolated, isolated, n) for n in range(len(own_upstreams)))
         )
-        assert {a.upstream for a in answers if isinstance(a, Granted)} == own
+        assert {a.upstream for a in answers if isinstance(a, Granted)} == own_upstreams
         new_arbiter = get_arbiter(zone, daemons[1])
         answers = await asyncio.gather(
             *(acquire(daemons[1], new_arbiter, n) for n in range(len(UPSTREAMS)))
         )
         granted = {a.upstream for a in answers if isinstance(a, Granted)}
-        assert granted == set(UPSTREAMS) - own
+        assert granted == set(UPSTREAMS) - own_upstreams
 
 
 async def test_planner_is_replaced():
-    """The planner's VM dies; another zone's candidate takes the lease."""
+    """The planner's VM is killed; another zone's candidate gets the lease."""
     zones = {"vm1": "a", "vm2": "a", "vm3": "b", "vm4": "b"}
     async with run_zone(zone_by_vm=zones) as zone:
 
@@ -233,9 +247,10 @@
 
 
 async def test_holder_of_another_zone_gets_no_permit():
-    """A process with a wrong view asks an arbiter of another zone.
+    """A process with a wrong view requests a permit in another zone.
 
-    That zone's next arbiter would not know whom to ask for the permit.
+    That zone's next arbiter would not know the holder, and so not request
+    the permit from it.
     """
     async with run_zone(zone_by_vm={"vm3": "b", "vm4": "b"}) as zone:
         foreign_daemon = zone.daemon_by_vm["vm3"]
@@ -246,8 +261,8 @@
 async def test_ended_holder_is_removed_from_every_service():
     """An entry process that used two services ends.
 
-    Still named to owners, it would be asked at each take-over and hold the
-    slots back until the longest permit has ended.
+    If it stayed listed with the owners, each new arbiter would request its
+    permits and block the slots until the longest permit has expired.
     """
     async with run_zone(("vm1",)) as zone:
         daemon = zone.daemon_by_vm["vm1"]
@@ -264,12 +279,13 @@
 
 
 async def test_zone_keeps_writing_after_a_platform_restore():
-    # Its writes were made on versions that the platform had lost.
+    # Guards against writes that are conditional on versions which the
+    # restored platform has lost: each of them would be rejected.
     async with run_zone(("vm1", "vm2")) as zone:
         await asyncio.sleep(3)
-        copy = zone.store.objects.take_snapshot()
+        backup = zone.store.objects.take_snapshot()
         await asyncio.sleep(3)
-        zone.store.objects.restore(copy)
+        zone.store.objects.restore(backup)
         await asyncio.sleep(3)
         former = zone.store.objects.get("summary", "a").unwrap()
         await asyncio.sleep(3)
@@ -282,13 +298,14 @@
 
 
 async def test_configuration_applied_after_a_restore_takes_effect_at_once():
-    # Its version was one that the daemons had seen before.
+    # Guards against ignoring a configuration whose version number is one that
+    # the daemons had already received before the restore.
     async with run_zone(("vm1", "vm2")) as zone:
-        copy = zone.store.objects.take_snapshot()
+        backup = zone.store.objects.take_snapshot()
         for number in range(5):
             await change_config_text(zone, make_config_text(comment=f"lost {number}"))
         await asyncio.sleep(1)
-        zone.store.objects.restore(copy)
+        zone.store.objects.restore(backup)
         await asyncio.sleep(3)
         text = make_config_text(comment="new")
         await change_config_text(zone, text)
--- a/godwitlanding/tests/daemons/test_zone_faults.py
+++ b/godwitlanding/tests/daemons/test_zone_faults.py
@@ -1,7 +1,7 @@
-"""Random schedules of faults over roster, loans, arbiter and holders.
+"""Tests random fault schedules on roster, loans, arbiter and holders.
 
-``GODWIT_SCHEDULES`` sets the number of schedules for a long run; the
-default is small and the same every time.
+``GODWIT_SCHEDULES`` sets the number of schedules for a long run. The
+default is small, and the schedules are the same in each run.
 """
 
 import os
@@ -25,7 +25,10 @@
 
 
 class ZoneFaults(RuleBasedStateMachine):
-    """Kills, pauses, cuts, wrong views, outages and lost answers."""
+    """Applies process, network, membership and platform faults at random.
+
+    Slots of an upstream must not be exceeded after any of them.
+    """
 
     @initialize(
         seed=integers(0, 10_000),
@@ -57,7 +60,7 @@
         process.paused = False
 
     @rule(one=integers(0, 2), other=integers(0, 2))
-    def cut(self, one, other):
+    def toggle_partition(self, one, other):
         if one != other:
             pair = frozenset((self._pick(one), self._pick(other)))
             self.simulation.partitions ^= {pair}
@@ -82,7 +85,7 @@
 
     @rule(share=sampled_from((0.0, 0.1, 0.5)), duration_s=floats(1.0, 8.0))
     def set_flap_probability(self, share, duration_s):
-        """Members differ about who is alive and who the arbiter is."""
+        """Give the members different views of alive VMs and the arbiter."""
         self.simulation.flap_probability = share
         self.simulation.run(duration_s)
         if not share:
@@ -105,7 +108,7 @@
 
     @invariant()
     def slots_are_never_exceeded(self):
-        if hasattr(self, "world"):
+        if hasattr(self, "simulation"):
             assert not self.simulation.slot_violations
 
     def _pick(self, index):
--- a/godwitlanding/tests/daemons/zone_processes.py
+++ b/godwitlanding/tests/daemons/zone_processes.py
@@ -1,4 +1,4 @@
-"""The processes of ``zone_world``: pure modules behind fake messages."""
+"""Zone and entry processes of ``zone_simulation``, without I/O."""
 
 from typing import NamedTuple
 
@@ -26,13 +26,13 @@
 
 
 def make_zone_permit_server(incarnation, number):
-    """Return a desk that numbers its permits in a range of its own."""
+    """Return a permit server with its own range of permit ids."""
     first = number << PERMIT_ID_BITS
     return PermitServer(incarnation, Arbiter(SERVICE, first), first)
 
 
 class RunningRequest(NamedTuple):
-    """A request on an upstream, which itself ends it at its deadline."""
+    """A request on an upstream; the upstream ends it at its deadline."""
 
     upstream: str
     until: float
@@ -46,23 +46,25 @@
         self.vm = vm
         self.incarnation = f"{vm}-zone-{number}"
         self.paused = False
-        self.steward = UpstreamOwner(vm, self.incarnation, LOAN_S, simulation.now)
-        self.desk = make_zone_permit_server(self.incarnation, number)
-        self.desk.set_addresses({u: u for u in simulation.slots_by_upstream})
+        self.upstream_owner = UpstreamOwner(
+            vm, self.incarnation, LOAN_S, simulation.now
+        )
+        self.permit_server = make_zone_permit_server(self.incarnation, number)
+        self.permit_server.set_addresses({u: u for u in simulation.slots_by_upstream})
         self.heartbeat_at_by_vm = {}
         self.alive_since_by_vm = {}
         self.incarnation_by_vm = {vm: self.incarnation}
         self.forced_arbiter = None
 
     def get_alive_vms(self):
-        """Return the VMs that this member takes for alive."""
+        """Return the VMs that this member considers alive."""
         now = self.simulation.now
-        heard = {
+        alive = {
             vm
             for vm, at in self.heartbeat_at_by_vm.items()
             if now - at <= MEMBER_TIMEOUT_S
         }
-        return sorted(heard | {self.vm})
+        return sorted(alive | {self.vm})
 
     def get_arbiter(self):
         return self.forced_arbiter or self.get_alive_vms()[0]
@@ -88,14 +90,14 @@
         }
         self.write_roster_change(alive_vms)
         if self.get_arbiter() == self.vm:
-            self.desk.active = True
-            for owner in simulation.list_owners(self.steward.roster):
+            self.permit_server.active = True
+            for owner in simulation.list_owners(self.upstream_owner.roster):
                 self.request_loan(owner)
-            for holder, upstreams in self.desk.get_pending_upstreams().items():
+            for holder, upstreams in self.permit_server.get_pending_upstreams().items():
                 self.request_holdings(holder, tuple(upstreams))
-        elif self.desk.active:
+        elif self.permit_server.active:
             self.close()
-        self.desk.tick(simulation.now)
+        self.permit_server.tick(simulation.now)
 
     def receive_heartbeat(self, sender):
         self.heartbeat_at_by_vm[sender.vm] = self.simulation.now
@@ -104,7 +106,7 @@
     def read_roster(self):
         platform = self.simulation.platform
         if platform.available and self.vm not in self.simulation.vms_without_platform:
-            self.steward.update_roster(
+            self.upstream_owner.update_roster(
                 platform.roster, platform.version, self.simulation.now
             )
 
@@ -122,31 +124,31 @@
             leaving=False,
         )
         permits = dict.fromkeys(simulation.slots_by_upstream, DEADLINE_S)
-        roster = self.steward.plan_change(inputs, permits, simulation.now)
+        roster = self.upstream_owner.plan_change(inputs, permits, simulation.now)
         if roster and self.vm not in simulation.vms_without_platform:
-            simulation.platform.put(roster, self.steward.version)
+            simulation.platform.put(roster, self.upstream_owner.version)
 
     def request_loan(self, owner):
         simulation = self.simulation
-        loan = self.desk.borrower.make_loan(owner, simulation.now)
+        loan = self.permit_server.borrower.make_loan(owner, simulation.now)
         requested_at = simulation.now
 
         def apply_answer(process, lent):
-            if process is not self or not self.desk.active:
+            if process is not self or not self.permit_server.active:
                 return
-            borrowed_upstreams, lost = self.desk.borrower.accept_lent(
+            borrowed_upstreams, lost = self.permit_server.borrower.accept_lent(
                 owner, loan, lent, requested_at, DEADLINE_S, simulation.now
             )
-            self.desk.stop_granting(lost)
+            self.permit_server.stop_granting(lost)
             for borrowed in borrowed_upstreams:
                 slots = simulation.slots_by_upstream[borrowed.upstream]
-                self.desk.add_borrowed(borrowed, slots, simulation.now)
+                self.permit_server.add_borrowed(borrowed, slots, simulation.now)
 
         def answer(process):
             if process.get_arbiter() != self.vm:
                 return
             upstreams = sorted(simulation.slots_by_upstream)
-            lent = process.steward.lender.lend(
+            lent = process.upstream_owner.lender.lend(
                 loan, upstreams, DEADLINE_S, simulation.now
             )
             simulation.send(owner, self.vm, "zone", lambda p: apply_answer(p, lent))
@@ -159,7 +161,9 @@
 
         def apply_answer(process, held):
             if process is self:
-                self.desk.add_held_permits(holder, upstreams, held, simulation.now)
+                self.permit_server.add_held_permits(
+                    holder, upstreams, held, simulation.now
+                )
 
         def answer(entry):
             if entry.holder == holder:
@@ -171,25 +175,27 @@
         simulation.send(self.vm, holder.vm, "entry", answer)
 
     def close(self):
-        self.desk.close(None)
-        for owner in self.desk.borrower.get_owners():
-            self.desk.stop_granting(self.desk.borrower.drop_owner(owner))
-            message = self.desk.borrower.make_give_back()
+        self.permit_server.close(None)
+        for owner in self.permit_server.borrower.get_owners():
+            self.permit_server.stop_granting(
+                self.permit_server.borrower.drop_owner(owner)
+            )
+            message = self.permit_server.borrower.make_give_back()
             upstreams = sorted(self.simulation.slots_by_upstream)
             self.simulation.send(
                 self.vm,
                 owner,
                 "zone",
-                lambda p, m=message: p.steward.lender.give_back(m, upstreams),
+                lambda p, m=message: p.upstream_owner.lender.give_back(m, upstreams),
             )
-        self.desk.tick(self.simulation.now)
+        self.permit_server.tick(self.simulation.now)
 
     def receive_acquire(self, entry, number, remaining_s):
         simulation = self.simulation
-        if not self.desk.active:
+        if not self.permit_server.active:
             return
-        if not self.desk.borrower.may_grant_to(entry.holder, simulation.now):
-            self.desk.borrower.add_holder(entry.holder)
+        if not self.permit_server.borrower.may_grant_to(entry.holder, simulation.now):
+            self.permit_server.borrower.add_holder(entry.holder)
             return
 
         def answer(message):
@@ -203,13 +209,13 @@
 
         message = Acquire(SERVICE, str(number), entry.holder.vm, 1, remaining_s)
         key = f"{entry.holder.incarnation} {number}"
-        self.desk.acquire(
+        self.permit_server.acquire(
             key, entry.holder, message, DEADLINE_S, answer, simulation.now
         )
 
 
 class EntryProcess:
-    """One incarnation of an entry daemon: holds permits."""
+    """One incarnation of an entry daemon, which holds permits."""
 
     def __init__(self, simulation, vm, number):
         self.simulation = simulation
@@ -223,12 +229,12 @@
     def tick(self, rng):
         zone = self.simulation.node_by_vm[self.holder.vm].zone
         if rng.random() < 0.7 and zone:
-            self.ask(zone.get_arbiter(), rng.uniform(0.3, DEADLINE_S))
+            self.send_acquire(zone.get_arbiter(), rng.uniform(0.3, DEADLINE_S))
         for key in list(self.running_by_permit):
             if rng.random() < self.simulation.finish_probability:
                 self.finish(key)
 
-    def ask(self, vm, remaining_s):
+    def send_acquire(self, vm, remaining_s):
         number = self.simulation.next_number()
         self.requested_at_by_number[number] = self.simulation.now
         self.simulation.send(
@@ -265,7 +271,7 @@
                 self.holder.vm,
                 vm,
                 "zone",
-                lambda p: p.desk.release(message, self.simulation.now),
+                lambda p: p.permit_server.release(message, self.simulation.now),
             )
 
     def answer_holdings(self, holdings_request):
--- a/godwitlanding/tests/daemons/zone_simulation.py
+++ b/godwitlanding/tests/daemons/zone_simulation.py
@@ -1,9 +1,10 @@
-"""A zone in memory for tests: members, holders, messages, upstreams.
+"""Simulates a zone in memory: members, holders, messages and upstreams.
 
-Runs the pure modules (``Steward``, ``Desk``, ``Borrower``) of several VMs
-against each other. Messages take time, may be held back, dropped and
-reordered; each process may be killed, paused or cut off. The upstreams
-count what runs on them, which is what a licence counts.
+Runs the modules without I/O (``UpstreamOwner``, ``PermitServer``,
+``Borrower``) of several VMs against each other. Messages have a latency and
+may be delayed, dropped and reordered. Each process may be killed, paused or
+partitioned from others. For each upstream the running requests are counted,
+which is what its licence limits.
 """
 
 import random
@@ -19,7 +20,7 @@
 
 
 class FakePlatform:
-    """The roster object, with outages and lost answers."""
+    """Stores the roster object; simulates outages and lost responses."""
 
     def __init__(self):
         self.available = True
@@ -38,7 +39,7 @@
 
 
 class Node:
-    """A VM with its two processes; ``None`` where one is down."""
+    """Holds the two processes of a VM; ``None`` for one that is down."""
 
     def __init__(self, zone, entry):
         self.zone = zone
@@ -46,7 +47,7 @@
 
 
 class ZoneSimulation:
-    """Time, messages, VMs and upstreams of one zone."""
+    """Simulates time, messages, VMs and upstreams of one zone."""
 
     def __init__(self, vms=3, upstreams=3, slots=1, seed=0):
         self.now = 100.0
@@ -79,12 +80,12 @@
         self.node_by_vm[vm] = Node(zone, entry)
 
     def remove_vm(self, vm):
-        """End a VM for good; the platform's list shows it later."""
+        """Remove a VM; the platform's VM list reflects this later."""
         del self.node_by_vm[vm]
         self.removed_at_by_vm[vm] = self.now
 
     def restart(self, vm, role):
-        """Kill a process; a new incarnation starts at once."""
+        """Kill a process and start a new incarnation at once."""
         kinds = {"zone": ZoneProcess, "entry": EntryProcess}
         setattr(self.node_by_vm[vm], role, kinds[role](self, vm, self.next_number()))
 
@@ -108,7 +109,7 @@
         self._in_flight.append((due, self.next_number(), receiver, role, deliver))
 
     def start(self, key, running):
-        """An upstream begins a request: count as the licence does."""
+        """Start a request at an upstream and check its number of slots."""
         self.started += 1
         self.running_by_permit[key] = running
         busy = self.count_busy(running.upstream)
@@ -122,7 +123,7 @@
         )
 
     def run(self, duration_s):
-        """Let time pass with callers that ask all the time."""
+        """Advance the time while callers send requests continuously."""
         for _ in range(round(duration_s / STEP_S)):
             self.now += STEP_S
             self._steps += 1
@@ -134,7 +135,7 @@
                     if is_heartbeat_step:
                         node.zone.tick()
                     else:
-                        node.zone.desk.tick(self.now)
+                        node.zone.permit_server.tick(self.now)
                 if node.entry and not node.entry.paused:
                     node.entry.tick(self.rng)
             self._deliver()
