--- a/godwitlanding/daemons/services/claimrunner.py
+++ b/godwitlanding/daemons/services/claimrunner.py
@@ -6,7 +6,7 @@
 from godwitlanding.base.codes import RUN_NO, Code, make_refusal
 from godwitlanding.base.kernel import Service
 from godwitlanding.base.tasks import Tasks
-from godwitlanding.daemons.responsewriter import Recorder, replay
+from godwitlanding.daemons.responsewriter import ResponseRecorder, replay
 from godwitlanding.daemons.services.requestexecutor import Guard
 
 
@@ -78,7 +78,7 @@
         known when the caller submits it again.
         """
         guard = ClaimGuard(record, self._confirm_timeout_s)
-        recorder = Recorder(response_writer)
+        recorder = ResponseRecorder(response_writer)
         task = self._tasks.run(self._execute(request, recorder, guard, record))
         self._running.add(task)
         task.add_done_callback(self._running.discard)
@@ -89,14 +89,14 @@
                 task.cancel()
             raise
         if refusal is None:
-            await recorder.hand_on()
+            await recorder.deliver()
         return refusal
 
     async def _execute(self, request, recorder, guard, record):
         refusal = None
         is_known = False
         try:
-            refusal = await self._executor.carry(request, recorder, guard)
+            refusal = await self._executor.execute(request, recorder, guard)
             is_known = refusal is None or refusal.run == RUN_NO
         finally:
             if not guard.is_confirmed or (is_known and refusal):
--- a/godwitlanding/daemons/services/permitclient.py
+++ b/godwitlanding/daemons/services/permitclient.py
@@ -16,7 +16,7 @@
     Withdraw,
 )
 from godwitlanding.base.tasks import Tasks
-from godwitlanding.daemons.holdings import PermitBook, Spill
+from godwitlanding.daemons.holdings import HeldPermits, Spill
 from godwitlanding.daemons.view import MEMBERS_KIND
 
 # Pause before asking all arbiters again: the replacement of an arbiter has to
@@ -42,7 +42,7 @@
     needs = ("feed",)
 
     def __init__(self, context):
-        self.held_permits = PermitBook(context.settings["permit_start_s"])
+        self.held_permits = HeldPermits(context.settings["permit_start_s"])
         self._context = context
         self._counters = context.counters
         self._port = context.settings["zone_port"]
--- a/godwitlanding/daemons/services/requestforwarder.py
+++ b/godwitlanding/daemons/services/requestforwarder.py
@@ -9,7 +9,7 @@
 from godwitlanding.base.messages import OUTCOME_FAILED, OUTCOME_UNUSED
 from godwitlanding.base.tasks import Tasks
 from godwitlanding.daemons.forward import HOP, Forward, sign_forward
-from godwitlanding.daemons.responsechecks import Attempt
+from godwitlanding.daemons.responsechecks import AttemptResult
 from godwitlanding.decisions.spill import LinkLimiter
 
 # Two targets, so that one VM that has just died does not fail the spill. With
@@ -142,7 +142,7 @@
 
 
 def _make_refused_result(code, retry_after_s=1.0, detail=""):
-    return Attempt(OUTCOME_FAILED, RUN_NO, code, detail, retry_after_s)
+    return AttemptResult(OUTCOME_FAILED, RUN_NO, code, detail, retry_after_s)
 
 
 def _read_refusal(status, headers):
@@ -158,6 +158,8 @@
         code = Code(int(code_text))
         retry_after_s = float(headers.get("Retry-After", "0"))
     except ValueError:
-        return Attempt(OUTCOME_FAILED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, code_text)
+        return AttemptResult(
+            OUTCOME_FAILED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, code_text
+        )
     run = Run(headers.get(RUN, RUN_UNKNOWN))
-    return Attempt(OUTCOME_UNUSED, run, code, "in another zone", retry_after_s)
+    return AttemptResult(OUTCOME_UNUSED, run, code, "in another zone", retry_after_s)
--- a/godwitlanding/daemons/services/requesthandler.py
+++ b/godwitlanding/daemons/services/requesthandler.py
@@ -18,8 +18,8 @@
 from godwitlanding.base.web import make_problem
 from godwitlanding.daemons.forward import read_forward
 from godwitlanding.daemons.request import Request, compute_fingerprint
-from godwitlanding.daemons.requestreader import Upload
-from godwitlanding.daemons.responsewriter import Sink
+from godwitlanding.daemons.requestreader import RequestReader
+from godwitlanding.daemons.responsewriter import ResponseWriter
 
 # A body up to this size is buffered before a permit is acquired, so that a
 # slow upload occupies no slot and the request can be retried.
@@ -78,7 +78,7 @@
 
     async def _handle(self, scope, receive, send):
         request_id = uuid.uuid4().hex
-        request_reader = Upload(receive, self._settings["max_body_bytes"])
+        request_reader = RequestReader(receive, self._settings["max_body_bytes"])
         read = await self._parse_request(scope, request_reader, request_id)
         if request_reader.is_gone:
             return
@@ -94,7 +94,7 @@
             caller=request.caller,
             from_zone=request.from_zone,
         )
-        response_writer = Sink(send, request_id, lambda: self.is_leaving)
+        response_writer = ResponseWriter(send, request_id, lambda: self.is_leaving)
         try:
             refusal = await self._execute(request, response_writer)
         except asyncio.CancelledError:
@@ -175,7 +175,7 @@
         body = (
             b""
             if length_refusal
-            else await request_reader.read_head(BUFFERED_BODY_BYTES)
+            else await request_reader.read_beginning(BUFFERED_BODY_BYTES)
         )
         if length_refusal or request_reader.is_too_large:
             return Err(length_refusal or make_refusal(Code.BODY_TOO_LARGE))
@@ -214,7 +214,7 @@
     async def _execute(self, request, response_writer):
         if request.needs_ticket:
             return await self._claims.run(request, response_writer)
-        return await self._executor.carry(request, response_writer)
+        return await self._executor.execute(request, response_writer)
 
 
 def _adjust_refusal(refusal, scope):
--- a/godwitlanding/daemons/services/upstreamclient.py
+++ b/godwitlanding/daemons/services/upstreamclient.py
@@ -21,8 +21,8 @@
     OUTCOME_TIMEOUT,
 )
 from godwitlanding.daemons.responsechecks import (
-    SMALL_ANSWER_BYTES,
-    Attempt,
+    SMALL_RESPONSE_BYTES,
+    AttemptResult,
     check_continuation,
     check_head,
     make_range_headers,
@@ -104,11 +104,13 @@
         except aiohttp.ClientConnectorError as error:
             is_refused = isinstance(error.os_error, ConnectionRefusedError)
             detail = CONNECTION_REFUSED if is_refused else str(error)
-            return Attempt(OUTCOME_FAILED, RUN_NO, Code.UPSTREAM_FAILED, detail)
+            return AttemptResult(OUTCOME_FAILED, RUN_NO, Code.UPSTREAM_FAILED, detail)
         except aiohttp.ConnectionTimeoutError as error:
-            return Attempt(OUTCOME_FAILED, RUN_NO, Code.UPSTREAM_FAILED, str(error))
+            return AttemptResult(
+                OUTCOME_FAILED, RUN_NO, Code.UPSTREAM_FAILED, str(error)
+            )
         except TimeoutError:
-            return Attempt(OUTCOME_TIMEOUT, RUN_UNKNOWN, Code.UPSTREAM_TIMEOUT)
+            return AttemptResult(OUTCOME_TIMEOUT, RUN_UNKNOWN, Code.UPSTREAM_TIMEOUT)
         except (aiohttp.ClientError, OSError) as error:
             return _make_disconnect_result(response_writer, repr(error))
 
@@ -136,10 +138,12 @@
             fault = _check_response(request, response, response_writer)
             if fault:
                 response.close()
-                return Attempt(OUTCOME_FAILED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, fault)
+                return AttemptResult(
+                    OUTCOME_FAILED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, fault
+                )
             await _copy_response(request, response, response_writer)
             outcome = OUTCOME_FAILED if response.status >= 500 else OUTCOME_OK
-            return Attempt(outcome, RUN_YES)
+            return AttemptResult(outcome, RUN_YES)
 
     def _choose_session(self, request, address):
         """Return the session whose connections are safe for the request.
@@ -174,8 +178,8 @@
     """
     if response_writer.started:
         code = Code.UPSTREAM_TRUNCATED
-        return Attempt(OUTCOME_FAILED, RUN_UNKNOWN, code, detail)
-    return Attempt(OUTCOME_CRASHED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, detail)
+        return AttemptResult(OUTCOME_FAILED, RUN_UNKNOWN, code, detail)
+    return AttemptResult(OUTCOME_CRASHED, RUN_UNKNOWN, Code.UPSTREAM_FAILED, detail)
 
 
 def _make_session(**connector_options):
@@ -221,7 +225,7 @@
     if (
         not response_writer.started
         and length is not None
-        and length <= SMALL_ANSWER_BYTES
+        and length <= SMALL_RESPONSE_BYTES
     ):
         body = await response.read()
         await response_writer.start(response.status, headers)
--- a/godwitlanding/tests/benchmarks/bench_steer.py
+++ b/godwitlanding/tests/benchmarks/bench_steer.py
@@ -123,8 +123,8 @@
     """Return an app that answers the look-ups by a starlette route."""
 
     async def get_choices(request):
-        caller = answers._find_caller(request.scope)
-        found = answers._find_answer(request.path_params["service"], caller)
+        caller = answers._get_caller(request.scope)
+        found = answers._make_lookup_response(request.path_params["service"], caller)
         headers = {k.decode(): v.decode() for k, v in found.start["headers"]}
         return Response(found.body["body"], headers=headers)
 
