--- a/godwitlanding/ctl.py
+++ b/godwitlanding/ctl.py
@@ -11,9 +11,8 @@
 import sys
 
 from godwitlanding import __version__
-from godwitlanding.operator.changes import run_apply, run_drain, run_rollback, run_shift
-from godwitlanding.operator.inventory import Ports
-from godwitlanding.operator.operations import (
+from godwitlanding.operator.daemonclient import Ports
+from godwitlanding.operator.readcommands import (
     run_diff,
     run_explain,
     run_get,
@@ -23,6 +22,12 @@
 )
 from godwitlanding.operator.terminal import EXIT_FAILED, EXIT_INTERRUPTED
 from godwitlanding.operator.workspaces import run_workspaces
+from godwitlanding.operator.writecommands import (
+    run_apply,
+    run_drain,
+    run_rollback,
+    run_shift,
+)
 
 DEFAULT_PLATFORM = "http://127.0.0.9:8000"
 
@@ -34,7 +39,7 @@
     )
     parser.add_argument("--version", action="version", version=__version__)
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
-    for add in (
+    for add_command in (
         _add_validate,
         _add_diff,
         _add_apply,
@@ -47,7 +52,7 @@
         _add_shift,
         _add_workspaces,
     ):
-        add(commands)
+        add_command(commands)
     return parser.parse_args(argv)
 
 
@@ -79,11 +84,11 @@
     return parser
 
 
-def _add_file(parser):
+def _add_file_argument(parser):
     parser.add_argument("file", metavar="FILE", help="The text; - for standard input")
 
 
-def _add_writing(parser):
+def _add_write_options(parser):
     parser.add_argument(
         "--note", default="", help="A few words on the change, for the history"
     )
@@ -97,10 +102,10 @@
         metavar="SECONDS",
         help="How long to go on trying while the platform does not answer",
     )
-    _add_waiting(parser)
+    _add_wait_options(parser)
 
 
-def _add_waiting(parser):
+def _add_wait_options(parser):
     parser.add_argument(
         "--wait", action="store_true", help="Wait until every VM has the change"
     )
@@ -111,10 +116,10 @@
         metavar="SECONDS",
         help="How long to wait with --wait",
     )
-    _add_ports(parser)
+    _add_port_options(parser)
 
 
-def _add_ports(parser):
+def _add_port_options(parser):
     for role, port in Ports()._asdict().items():
         parser.add_argument(
             f"--{role}-port",
@@ -129,42 +134,42 @@
     parser = _add_command(
         commands, "validate", run_validate, "Check a text; list every mistake."
     )
-    _add_file(parser)
+    _add_file_argument(parser)
 
 
 def _add_diff(commands):
     parser = _add_command(
         commands, "diff", run_diff, "Show what applying a text would change."
     )
-    _add_file(parser)
+    _add_file_argument(parser)
 
 
 def _add_apply(commands):
     parser = _add_command(
         commands, "apply", run_apply, "Check a text and put it in force."
     )
-    _add_file(parser)
+    _add_file_argument(parser)
     parser.add_argument(
         "--base",
         type=int,
         metavar="VERSION",
         help="Version that the text was based on (default: the one in force)",
     )
-    _add_writing(parser)
+    _add_write_options(parser)
 
 
 def _add_get(commands):
     parser = _add_command(commands, "get", run_get, "Print the accepted text.")
-    which = parser.add_mutually_exclusive_group()
-    which.add_argument(
+    version_group = parser.add_mutually_exclusive_group()
+    version_group.add_argument(
         "--at", type=int, metavar="VERSION", help="An earlier version instead"
     )
-    which.add_argument(
+    version_group.add_argument(
         "--in-force",
         action="store_true",
         help="What the daemons hold, if the platform has lost it",
     )
-    _add_ports(parser)
+    _add_port_options(parser)
 
 
 def _add_history(commands):
@@ -176,7 +181,7 @@
         commands, "rollback", run_rollback, "Apply an earlier text as a new version."
     )
     parser.add_argument("to", type=int, metavar="VERSION", help="Version to return to")
-    _add_writing(parser)
+    _add_write_options(parser)
 
 
 def _add_status(commands):
@@ -189,7 +194,7 @@
     parser.add_argument(
         "--plan", action="store_true", help="Show shares and spill allowances too"
     )
-    _add_ports(parser)
+    _add_port_options(parser)
 
 
 def _add_explain(commands):
@@ -205,7 +210,7 @@
         metavar="FILE",
         help="Read it out of these logs of VMs, asking no process",
     )
-    _add_ports(parser)
+    _add_port_options(parser)
 
 
 def _add_workspaces(commands):
@@ -231,7 +236,7 @@
     parser.add_argument("name", metavar="NAME", help="Which one")
     parser.add_argument("--service", default="", help="Only this service of a zone")
     parser.add_argument("--end", action="store_true", help="End the drain")
-    _add_writing(parser)
+    _add_write_options(parser)
 
 
 def _add_shift(commands):
@@ -250,7 +255,7 @@
     action.add_argument("--resume", action="store_true", help="Go on after a pause")
     action.add_argument("--back", action="store_true", help="Move everything back")
     action.add_argument("--end", action="store_true", help="Remove it from the text")
-    _add_writing(parser)
+    _add_write_options(parser)
 
 
 if __name__ == "__main__":
--- a/godwitlanding/operator/apply.py
+++ b/godwitlanding/operator/apply.py
@@ -26,12 +26,12 @@
 _APPLY_LINE = re.compile(r"\A//apply: (\S+)[^\n]*\n")
 # Pause between two tries while the platform does not answer: short beside
 # an operator's patience, long beside the platform's few milliseconds.
-RETRY_PAUSE_S = 0.5
-DEFAULT_PATIENCE_S = 30.0
-HISTORY_KEPT = 100
+RETRY_INTERVAL_S = 0.5
+DEFAULT_RETRY_LIMIT_S = 30.0
+MAX_HISTORY_TEXTS = 100
 
 
-class Applied(NamedTuple):
+class AppliedText(NamedTuple):
     """A text in the platform; ``apply_id`` is empty where it had none."""
 
     version: int
@@ -47,8 +47,8 @@
 
 def add_apply_line(text, apply_id, note):
     """Return the text to store: the operators' own behind one line."""
-    clean = " ".join(note.split())
-    return f"//apply: {apply_id} {clean}\n{remove_apply_line(text)}"
+    one_line_note = " ".join(note.split())
+    return f"//apply: {apply_id} {one_line_note}\n{remove_apply_line(text)}"
 
 
 def remove_apply_line(text):
@@ -56,26 +56,28 @@
     return _APPLY_LINE.sub("", text, count=1)
 
 
-def read_applied(stored):
+def parse_applied(stored):
     """Return what a stored object says of its apply."""
     text = stored.value.decode()
     match = _APPLY_LINE.match(text)
     apply_id = match.group(1) if match else ""
     note = match.group(0).strip()[len("//apply: ") + len(apply_id) :] if match else ""
-    return Applied(stored.version, apply_id, note.strip(), remove_apply_line(text))
+    return AppliedText(stored.version, apply_id, note.strip(), remove_apply_line(text))
 
 
 async def read_current(store):
     """Return ``Ok(Applied)``; version 0 and no text before the first."""
     got = await store.get(CONFIG_KIND, CONFIG_NAME)
     if got.is_ok():
-        return Ok(read_applied(got.unwrap()))
+        return Ok(parse_applied(got.unwrap()))
     if got.unwrap_err().code is Code.NOT_FOUND:
-        return Ok(Applied(0, "", "", ""))
+        return Ok(AppliedText(0, "", "", ""))
     return got
 
 
-async def apply_text(store, text, base_version, note, patience_s=DEFAULT_PATIENCE_S):
+async def apply_text(
+    store, text, base_version, note, retry_limit_s=DEFAULT_RETRY_LIMIT_S
+):
     """Write ``text`` over ``base_version``.
 
     ``Ok(Applied)`` is committed. ``Err`` VERSION_CONFLICT: another change
@@ -85,19 +87,19 @@
     apply_id = make_apply_id()
     value = add_apply_line(text, apply_id, note).encode()
     loop = asyncio.get_running_loop()
-    end = loop.time() + patience_s
+    end = loop.time() + retry_limit_s
     while True:
-        written = await _try_once(store, value, base_version, apply_id)
-        settled = written.is_ok() or written.unwrap_err().code not in (
+        written = await _write_once(store, value, base_version, apply_id)
+        is_resolved = written.is_ok() or written.unwrap_err().code not in (
             Code.PLATFORM_UNAVAILABLE,
             Code.RATE_LIMITED,
         )
-        if settled or loop.time() + RETRY_PAUSE_S > end:
+        if is_resolved or loop.time() + RETRY_INTERVAL_S > end:
             break
-        await asyncio.sleep(RETRY_PAUSE_S)
+        await asyncio.sleep(RETRY_INTERVAL_S)
     if written.is_err():
         return written
-    return Ok(Applied(written.unwrap(), apply_id, note, text))
+    return Ok(AppliedText(written.unwrap(), apply_id, note, text))
 
 
 async def read_history(store):
@@ -111,7 +113,7 @@
     applied_by_version = {}
     for stored in listed.unwrap():
         if stored.name.isdigit():
-            applied = read_applied(stored)._replace(version=int(stored.name))
+            applied = parse_applied(stored)._replace(version=int(stored.name))
             applied_by_version[applied.version] = applied
     if current.unwrap().version:
         applied_by_version[current.unwrap().version] = current.unwrap()
@@ -125,20 +127,20 @@
     if listed.is_err():
         return
     oldest = sorted(listed.unwrap(), key=lambda stored: stored.name)
-    for stored in oldest[:-HISTORY_KEPT]:
+    for stored in oldest[:-MAX_HISTORY_TEXTS]:
         await store.delete(HISTORY_KIND, stored.name, stored.version)
 
 
-async def _try_once(store, value, base_version, apply_id):
-    kept = await _keep_current(store, base_version)
+async def _write_once(store, value, base_version, apply_id):
+    kept = await _save_to_history(store, base_version)
     if kept.is_ok():
         kept = await store.put(CONFIG_KIND, CONFIG_NAME, value, base_version)
     if kept.is_err() and kept.unwrap_err().code is Code.VERSION_CONFLICT:
-        return await _settle(store, apply_id, kept)
+        return await _resolve_conflict(store, apply_id, kept)
     return kept
 
 
-async def _keep_current(store, base_version):
+async def _save_to_history(store, base_version):
     # The text that is replaced goes into the history first: a client that
     # dies between the two writes has then lost nothing.
     if not base_version:
@@ -155,7 +157,7 @@
     return kept
 
 
-async def _settle(store, apply_id, conflict):
+async def _resolve_conflict(store, apply_id, conflict):
     history = await read_history(store)
     if history.is_err():
         return history
--- a/godwitlanding/operator/inventory.py
+++ b/godwitlanding/operator/daemonclient.py
@@ -9,7 +9,7 @@
 
 ROLES = ("zone", "entry", "steer")
 TIMEOUT_S = 2.0
-MOST_AT_ONCE = 50
+MAX_CONCURRENT_REQUESTS = 50
 
 
 class Ports(NamedTuple):
@@ -37,32 +37,32 @@
 
 async def read_fleet(vms, ports, roles=ROLES):
     """Ask each daemon of the ``VmEntry`` rows; answers in their order."""
-    gate = asyncio.Semaphore(MOST_AT_ONCE)
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
     timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
     async with aiohttp.ClientSession(timeout=timeout) as session:
-        asks = [
-            _read_daemon(session, gate, vm, role, getattr(ports, role))
+        calls = [
+            _read_daemon(session, semaphore, vm, role, getattr(ports, role))
             for vm in vms
             for role in roles
         ]
-        return await asyncio.gather(*asks)
+        return await asyncio.gather(*calls)
 
 
-async def read_in_force(vms, ports):
+async def read_config_in_force(vms, ports):
     """Return ``(version, text)``, the newest that a zone daemon holds.
 
     Version 0 and no text where none answers.
     """
     timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
     async with aiohttp.ClientSession(timeout=timeout) as session:
-        asks = [
-            _read_text(session, f"http://{vm.address}:{ports.zone}/-/config")
+        calls = [
+            _read_config(session, f"http://{vm.address}:{ports.zone}/-/config")
             for vm in vms
         ]
-        return max(await asyncio.gather(*asks), default=(0, ""))
+        return max(await asyncio.gather(*calls), default=(0, ""))
 
 
-async def _read_text(session, url):
+async def _read_config(session, url):
     try:
         async with session.get(url) as answer:
             version = int(answer.headers.get(VERSION_HEADER, "0"))
@@ -71,22 +71,24 @@
         return 0, ""
 
 
-async def find_request(vms, ports, request_id):
+async def find_request_events(vms, ports, request_id):
     """Return what entry processes remember of a request, oldest first."""
     timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
     async with aiohttp.ClientSession(timeout=timeout) as session:
-        asks = [
-            _read_json(session, f"http://{vm.address}:{ports.entry}", request_id)
+        calls = [
+            _read_request_events(
+                session, f"http://{vm.address}:{ports.entry}", request_id
+            )
             for vm in vms
         ]
-        answers = await asyncio.gather(*asks)
+        answers = await asyncio.gather(*calls)
     found = []
     for vm, events in zip(vms, answers, strict=True):
         found += [{"vm": vm.vm, **event} for event in events]
     return sorted(found, key=lambda event: event.get("at", ""))
 
 
-async def _read_json(session, base, request_id):
+async def _read_request_events(session, base, request_id):
     try:
         async with session.get(f"{base}/-/requests/{request_id}") as answer:
             if answer.status != 200:
@@ -96,9 +98,9 @@
         return []
 
 
-async def _read_daemon(session, gate, vm, role, port):
+async def _read_daemon(session, semaphore, vm, role, port):
     base = f"http://{vm.address}:{port}/-"
-    async with gate:
+    async with semaphore:
         try:
             async with session.get(f"{base}/health") as answer:
                 state = (await answer.json()).get("state", "unknown")
--- a/godwitlanding/operator/diff.py
+++ b/godwitlanding/operator/diff.py
@@ -63,14 +63,14 @@
 
 def _describe_shift(config, shift):
     steps = math.ceil(round(shift.share / shift.cap_share, 9)) if shift.share else 0
-    least_s = max(0, steps - 1) * shift.step_s
+    min_duration_s = max(0, steps - 1) * shift.step_s
     service = config.service_by_name[shift.service]
     slots = sum(u.slots for u in service.get_upstreams(shift.to_zone))
     paused = ", paused" if shift.paused else ""
     return (
         f"shift {shift.name}: {shift.share:.0%} of {shift.service} callers of "
         f"{shift.from_zone} to {shift.to_zone} ({slots} slots there) in {steps} "
-        f"steps of at most {shift.cap_share:.0%}, {least_s:g} s at least{paused}"
+        f"steps of at most {shift.cap_share:.0%}, {min_duration_s:g} s at least{paused}"
     )
 
 
@@ -79,16 +79,16 @@
     for name in sorted(old_by_name.keys() | new_by_name.keys()):
         old, new = old_by_name.get(name), new_by_name.get(name)
         if old is None:
-            changes.append(Change("+", f"{kind} {name}", _format(new)))
+            changes.append(Change("+", f"{kind} {name}", _format_fields(new)))
         elif new is None:
-            changes.append(Change("-", f"{kind} {name}", _format(old)))
+            changes.append(Change("-", f"{kind} {name}", _format_fields(old)))
         elif old != new:
             changes.append(Change("~", f"{kind} {name}", _format_changed(old, new)))
     return changes
 
 
 def _diff_services(old_by_name, new_by_name):
-    bare = [
+    tables_without_upstreams = [
         {name: s._replace(upstream_by_id={}) for name, s in by_name.items()}
         for by_name in (old_by_name, new_by_name)
     ]
@@ -96,7 +96,9 @@
         {u.id: u for s in by_name.values() for u in s.upstream_by_id.values()}
         for by_name in (old_by_name, new_by_name)
     ]
-    return _diff_tables("service", *bare) + _diff_tables("upstream", *upstreams)
+    return _diff_tables("service", *tables_without_upstreams) + _diff_tables(
+        "upstream", *upstreams
+    )
 
 
 def _diff_drains(old, new):
@@ -108,21 +110,23 @@
     return changes
 
 
-def _format(value):
+def _format_fields(value):
     pairs = value._asdict().items()
-    return ", ".join(f"{key}={_plain(item)}" for key, item in pairs if item != {})
+    return ", ".join(
+        f"{key}={_format_value(item)}" for key, item in pairs if item != {}
+    )
 
 
 def _format_changed(old, new):
     pairs = zip(old._asdict().items(), new, strict=True)
     return ", ".join(
-        f"{key} {_plain(before)} -> {_plain(after)}"
+        f"{key} {_format_value(before)} -> {_format_value(after)}"
         for (key, before), after in pairs
         if before != after
     )
 
 
-def _plain(value):
+def _format_value(value):
     if isinstance(value, (tuple, list)):
         return "[" + " ".join(map(str, value)) + "]"
     return str(value)
--- a/godwitlanding/operator/edit.py
+++ b/godwitlanding/operator/edit.py
@@ -23,33 +23,33 @@
 
 def add_item(text, key, item):
     """Return ``Ok`` the text with ``item`` first in the list ``key``."""
-    wanted = _read(text)
+    wanted = _parse_table(text)
     if wanted.is_err():
         return wanted
     value = wanted.unwrap()
     value[key] = [item, *value.get(key, [])]
     line = f"\n{_INDENT}{format_item(item)},"
-    return _first_that_means(value, _list_candidates(text, key, line), key)
+    return _choose_candidate(value, _insertion_candidates(text, key, line), key)
 
 
 def remove_item(text, key, item):
     """Return ``Ok`` the text without the items equal to ``item``."""
-    wanted = _read(text)
+    wanted = _parse_table(text)
     if wanted.is_err():
         return wanted
     value = wanted.unwrap()
     value[key] = [other for other in value.get(key, []) if other != item]
-    return _first_that_means(value, _removal_candidates(text, item), key)
+    return _choose_candidate(value, _removal_candidates(text, item), key)
 
 
 def replace_item(text, key, old, new):
     """Return ``Ok`` the text with ``new`` where the list held ``old``."""
-    wanted = _read(text)
+    wanted = _parse_table(text)
     if wanted.is_err():
         return wanted
     value = wanted.unwrap()
     value[key] = [new if item == old else item for item in value.get(key, [])]
-    return _first_that_means(value, _replacement_candidates(text, old, new), key)
+    return _choose_candidate(value, _replacement_candidates(text, old, new), key)
 
 
 def format_item(item):
@@ -58,14 +58,14 @@
     return "{" + ", ".join(pairs) + "}"
 
 
-def _read(text):
+def _parse_table(text):
     parsed = read_text(text)
     if parsed.is_ok() and not isinstance(parsed.unwrap(), dict):
         return Err([Problem(Code.CONFIG_WRONG_TYPE, "", 1, "no table", "a table")])
     return parsed
 
 
-def _list_candidates(text, key, line):
+def _insertion_candidates(text, key, line):
     for match in re.finditer(rf"\b{key}\b[\"']?\s*:\s*\[", text):
         rest = text[match.end() :]
         end = "\n  " if rest.startswith("]") else ""
@@ -102,7 +102,7 @@
             yield match.start(), match.end()
 
 
-def _first_that_means(value, candidates, key):
+def _choose_candidate(value, candidates, key):
     for candidate in candidates:
         parsed = read_text(candidate)
         if parsed.is_ok() and parsed.unwrap() == value:
--- a/godwitlanding/operator/logstory.py
+++ b/godwitlanding/operator/logtimeline.py
@@ -14,13 +14,23 @@
 
 # What happened to an upstream this long before or after explains the
 # attempts on it: an ejected one is tried again within 3 s.
-AROUND_S = 3.0
+CONTEXT_S = 3.0
 # Lines that tell what a VM knew of the store and its peers.
-_VM_LINES = ("mirror:", "feed:", "reader:", "peers:", "kernel:", "front:", "vm:")
-_PLAIN = frozenset(("vm", "role", "timestamp", "message_type", "request", "level"))
-
-
-class StoryRow(NamedTuple):
+_VM_MESSAGE_PREFIXES = (
+    "mirror:",
+    "feed:",
+    "reader:",
+    "peers:",
+    "kernel:",
+    "front:",
+    "vm:",
+)
+_OMITTED_FIELDS = frozenset(
+    ("vm", "role", "timestamp", "message_type", "request", "level")
+)
+
+
+class TimelineRow(NamedTuple):
     """A line of the story; ``at`` is seconds of the writer's wall clock."""
 
     at: float
@@ -29,7 +39,7 @@
     fields: dict
 
 
-def read_story(paths, request_id):
+def read_timeline(paths, request_id):
     """Return the story's rows in the order of time, empty if none names it.
 
     Raises ``OSError`` where a file cannot be read. Lines that are no log
@@ -43,12 +53,13 @@
         line[key] for line in own for key in ("upstream", "best") if key in line
     }
     vms = {line.get("vm") for line in own}
-    begun = min(line["timestamp"] for line in own) - AROUND_S
-    ended = max(line["timestamp"] for line in own) + AROUND_S
+    context_start = min(line["timestamp"] for line in own) - CONTEXT_S
+    context_end = max(line["timestamp"] for line in own) + CONTEXT_S
     around = [
         line
         for line in lines
-        if begun <= line["timestamp"] <= ended and _explains(line, upstreams, vms)
+        if context_start <= line["timestamp"] <= context_end
+        and _is_context(line, upstreams, vms)
     ]
     return sorted(map(_make_row, own + around), key=lambda row: row.at)
 
@@ -64,17 +75,17 @@
                 yield line
 
 
-def _explains(line, upstreams, vms):
+def _is_context(line, upstreams, vms):
     what = line.get("message_type", "")
     if "request" in line:
         return False
     if line.get("upstream") in upstreams:
         return True
-    return line.get("vm") in vms and what.startswith(_VM_LINES)
+    return line.get("vm") in vms and what.startswith(_VM_MESSAGE_PREFIXES)
 
 
 def _make_row(line):
-    fields = {key: value for key, value in line.items() if key not in _PLAIN}
-    return StoryRow(
+    fields = {key: value for key, value in line.items() if key not in _OMITTED_FIELDS}
+    return TimelineRow(
         line["timestamp"], line.get("vm", ""), line.get("message_type", ""), fields
     )
--- a/godwitlanding/operator/operations.py
+++ b/godwitlanding/operator/readcommands.py
@@ -8,10 +8,14 @@
 from godwitlanding.base.codes import Code, make_refusal
 from godwitlanding.base.config import CONFIG_KIND, CONFIG_NAME
 from godwitlanding.base.storetypes import StoredObject
-from godwitlanding.operator.apply import read_applied, read_current, read_history
-from godwitlanding.operator.inventory import find_request, read_fleet, read_in_force
-from godwitlanding.operator.logstory import read_story
-from godwitlanding.operator.survey import (
+from godwitlanding.operator.apply import parse_applied, read_current, read_history
+from godwitlanding.operator.daemonclient import (
+    find_request_events,
+    read_config_in_force,
+    read_fleet,
+)
+from godwitlanding.operator.logtimeline import read_timeline
+from godwitlanding.operator.summary import (
     read_plan,
     summarise_leases,
     summarise_plan,
@@ -24,7 +28,7 @@
     EXIT_OK,
     fail_platform,
     fail_problems,
-    find_version,
+    find_applied,
     get_ports,
     open_store,
     print_configuration,
@@ -65,7 +69,7 @@
         if arguments.in_force:
             found = await _find_in_force(store, arguments)
         else:
-            found = await find_version(store, arguments.at)
+            found = await find_applied(store, arguments.at)
     if found.is_err():
         return fail_platform(found.unwrap_err())
     applied = found.unwrap()
@@ -85,11 +89,13 @@
     listed = await store.list_vms()
     if listed.is_err():
         return listed
-    version, text = await read_in_force(listed.unwrap().vms, get_ports(arguments))
+    version, text = await read_config_in_force(
+        listed.unwrap().vms, get_ports(arguments)
+    )
     if not version:
         return Err(make_refusal(Code.NOT_FOUND, detail="no daemon answers"))
     return Ok(
-        read_applied(StoredObject(CONFIG_KIND, CONFIG_NAME, version, text.encode()))
+        parse_applied(StoredObject(CONFIG_KIND, CONFIG_NAME, version, text.encode()))
     )
 
 
@@ -148,18 +154,18 @@
 async def run_explain(arguments):
     """Tell what became of a request."""
     if arguments.logs:
-        return _explain_by_logs(arguments)
+        return _explain_from_logs(arguments)
     async with open_store(arguments) as store:
         listed = await store.list_vms()
     if listed.is_err():
         return fail_platform(listed.unwrap_err())
     vms = listed.unwrap().vms
-    events = await find_request(vms, get_ports(arguments), arguments.request_id)
+    events = await find_request_events(vms, get_ports(arguments), arguments.request_id)
     if arguments.json:
         print(json.dumps(events))
     elif events:
         rows = [
-            (e.pop("at", ""), e.pop("vm", ""), e.pop("event", ""), _join(e))
+            (e.pop("at", ""), e.pop("vm", ""), e.pop("event", ""), _format_fields(e))
             for e in events
         ]
         print(format_table(("at", "vm", "event", "why"), rows))
@@ -170,25 +176,26 @@
     return EXIT_OK
 
 
-def _explain_by_logs(arguments):
+def _explain_from_logs(arguments):
     try:
-        story = read_story(arguments.logs, arguments.request_id)
+        timeline = read_timeline(arguments.logs, arguments.request_id)
     except OSError as error:
         print(error, file=sys.stderr)
         return EXIT_FAILED
-    if not story:
+    if not timeline:
         print(f"{arguments.request_id}: no line names it", file=sys.stderr)
         return EXIT_FAILED
     if arguments.json:
-        print(json.dumps([row._asdict() for row in story]))
+        print(json.dumps([row._asdict() for row in timeline]))
         return EXIT_OK
-    begun = story[0].at
+    started_at = timeline[0].at
     rows = [
-        (f"+{row.at - begun:.3f}", row.vm, row.what, _join(row.fields)) for row in story
+        (f"+{row.at - started_at:.3f}", row.vm, row.what, _format_fields(row.fields))
+        for row in timeline
     ]
     print(format_table(("seconds", "vm", "line", "fields"), rows))
     return EXIT_OK
 
 
-def _join(event):
+def _format_fields(event):
     return ", ".join(f"{key}={value}" for key, value in event.items())
--- a/godwitlanding/operator/survey.py
+++ b/godwitlanding/operator/summary.py
@@ -45,12 +45,12 @@
     allowance: int
 
 
-def summarise_plan(plan, only=""):
+def summarise_plan(plan, only_service=""):
     """Return a ``PlanRow`` for each pair of zones that the plan names."""
     rows = []
     weights = plan.weight_by_zone_by_origin_by_service
     for service in sorted({*weights, *plan.allowance_by_zones_by_service}):
-        if only and service != only:
+        if only_service and service != only_service:
             continue
         by_origin = weights.get(service, {})
         for origin in sorted(by_origin):
@@ -86,13 +86,13 @@
     ]
 
 
-def summarise_services(fleet, only=""):
+def summarise_services(fleet, only_service=""):
     """Return a ``ServiceRow`` for each service that an arbiter serves."""
     rows = []
     for daemon in fleet:
         arbiters = _get_service(daemon, "arbitration").get("services", {})
         for name, status in sorted(arbiters.items()):
-            if only and name != only:
+            if only_service and name != only_service:
                 continue
             rows.append(
                 ServiceRow(
@@ -103,7 +103,7 @@
                     status.get("usable_slots", 0),
                     status.get("busy", 0),
                     status.get("queued", 0),
-                    _format_out(status),
+                    _format_excluded_upstreams(status),
                 )
             )
     return sorted(rows)
@@ -127,8 +127,8 @@
             if item["what"] == "upstream":
                 count += status.get("busy_by_upstream", {}).get(item["name"], 0)
             elif daemon.availability_zone == item["name"]:
-                wanted = item.get("service", service) == service
-                count += status.get("busy", 0) if wanted else 0
+                is_included = item.get("service", service) == service
+                count += status.get("busy", 0) if is_included else 0
     return count
 
 
@@ -136,7 +136,7 @@
     return (daemon.status or {}).get("services", {}).get(name, {})
 
 
-def _format_out(status):
+def _format_excluded_upstreams(status):
     """Return which upstreams get nothing new, each with the reason."""
     why_by_upstream = {name: "ejected" for name in status.get("ejected", ())}
     why_by_upstream.update(status.get("out", {}))
--- a/godwitlanding/operator/terminal.py
+++ b/godwitlanding/operator/terminal.py
@@ -12,12 +12,12 @@
 from godwitlanding.base.config import parse_config
 from godwitlanding.base.store import HttpStore
 from godwitlanding.operator.apply import read_current, read_history, remove_apply_line
+from godwitlanding.operator.daemonclient import Ports
 from godwitlanding.operator.diff import (
     describe_shifts,
     describe_slots,
     diff_configurations,
 )
-from godwitlanding.operator.inventory import Ports
 from godwitlanding.operator.table import format_table
 
 EXIT_OK = 0
@@ -42,7 +42,7 @@
         await store.close()
 
 
-async def find_version(store, version):
+async def find_applied(store, version):
     """Return ``Ok(Applied)`` of a version, the one in force for ``None``."""
     if version is None:
         return await read_current(store)
--- a/godwitlanding/operator/workspaces.py
+++ b/godwitlanding/operator/workspaces.py
@@ -18,8 +18,8 @@
 
 TIMEOUT_S = 3.0
 MAX_CONNECTIONS = 20
-_GAUGE = re.compile(r"^workspace_(\w+)\{([^}]*)\} (\S+)$", re.M)
-_NAME = re.compile(r'\bof="((?:[^"\\]|\\.)*)"')
+_GAUGE_PATTERN = re.compile(r"^workspace_(\w+)\{([^}]*)\} (\S+)$", re.M)
+_NAME_PATTERN = re.compile(r'\bof="((?:[^"\\]|\\.)*)"')
 
 
 class WorkspaceRow(NamedTuple):
@@ -39,10 +39,10 @@
 def read_rows(vm, text):
     """Return a ``WorkspaceRow`` for each workspace in a VM's metrics."""
     fields_by_workspace = {}
-    for field, labels, value in _GAUGE.findall(text):
-        named = _NAME.search(labels)
-        if named and field in WorkspaceRow._fields:
-            fields = fields_by_workspace.setdefault(named.group(1), {})
+    for field, labels, value in _GAUGE_PATTERN.findall(text):
+        match = _NAME_PATTERN.search(labels)
+        if match and field in WorkspaceRow._fields:
+            fields = fields_by_workspace.setdefault(match.group(1), {})
             fields[field] = float(value)
     return [
         WorkspaceRow(workspace, vm, **fields)
--- a/godwitlanding/operator/changes.py
+++ b/godwitlanding/operator/writecommands.py
@@ -13,9 +13,9 @@
 from godwitlanding.base.config import CONFIG_KIND, parse_config
 from godwitlanding.base.schema import read_text
 from godwitlanding.operator.apply import apply_text, read_current, remove_old_history
+from godwitlanding.operator.daemonclient import read_fleet
 from godwitlanding.operator.edit import add_item, remove_item, replace_item
-from godwitlanding.operator.inventory import read_fleet
-from godwitlanding.operator.survey import count_in_progress
+from godwitlanding.operator.summary import count_in_progress
 from godwitlanding.operator.terminal import (
     EXIT_CONFLICT,
     EXIT_FAILED,
@@ -24,7 +24,7 @@
     EXIT_UNKNOWN,
     fail_platform,
     fail_problems,
-    find_version,
+    find_applied,
     get_ports,
     open_store,
     print_diff,
@@ -32,7 +32,7 @@
     read_file,
 )
 
-WAIT_POLL_S = 0.3
+POLL_INTERVAL_S = 0.3
 
 
 async def run_apply(arguments):
@@ -48,13 +48,13 @@
         base = current.unwrap()
         if arguments.base is not None and arguments.base != base.version:
             return await _fail_conflict(store, arguments.base)
-        return await _send(store, base, text, arguments, arguments.note)
+        return await _confirm_and_send(store, base, text, arguments, arguments.note)
 
 
 async def run_rollback(arguments):
     """Apply an earlier text as a new version."""
     async with open_store(arguments) as store:
-        found = await find_version(store, arguments.to)
+        found = await find_applied(store, arguments.to)
         if found.is_err():
             return fail_platform(found.unwrap_err())
         current = await read_current(store)
@@ -62,7 +62,7 @@
             return fail_platform(current.unwrap_err())
         note = arguments.note or f"rollback to {arguments.to}"
         text = found.unwrap().text
-        return await _send(store, current.unwrap(), text, arguments, note)
+        return await _confirm_and_send(store, current.unwrap(), text, arguments, note)
 
 
 async def run_drain(arguments):
@@ -82,9 +82,9 @@
 
     words = "end drain of" if arguments.end else "drain"
     note = arguments.note or f"{words} {arguments.what} {arguments.name}"
-    code = await _edit(arguments, edit, note)
+    code = await _edit_and_send(arguments, edit, note)
     if code == EXIT_OK and arguments.wait and not arguments.end:
-        return await _watch_drain(arguments, item)
+        return await _wait_for_drain(arguments, item)
     return code
 
 
@@ -105,7 +105,9 @@
             return add_item(text, "shifts", new)
         return replace_item(text, "shifts", old, new)
 
-    return await _edit(arguments, edit, arguments.note or f"shift {arguments.name}")
+    return await _edit_and_send(
+        arguments, edit, arguments.note or f"shift {arguments.name}"
+    )
 
 
 def _make_shift(arguments, old):
@@ -128,7 +130,7 @@
     return new
 
 
-async def _edit(arguments, edit, note):
+async def _edit_and_send(arguments, edit, note):
     async with open_store(arguments) as store:
         current = await read_current(store)
         if current.is_err():
@@ -140,10 +142,10 @@
         edited = edit(base.text)
         if edited.is_err():
             return fail_problems(edited.unwrap_err(), arguments)
-        return await _send(store, base, edited.unwrap(), arguments, note)
+        return await _confirm_and_send(store, base, edited.unwrap(), arguments, note)
 
 
-async def _send(store, base, text, arguments, note):
+async def _confirm_and_send(store, base, text, arguments, note):
     parsed = parse_config(text)
     if parsed.is_err():
         return fail_problems(parsed.unwrap_err(), arguments)
@@ -152,7 +154,7 @@
         return EXIT_OK
     print_text_diff(base, text)
     print_diff(base, parsed.unwrap(), False, to=sys.stderr)
-    if not arguments.yes and not _is_agreed(base.version):
+    if not arguments.yes and not _is_confirmed(base.version):
         print("nothing was sent", file=sys.stderr)
         return EXIT_FAILED
     sent = await apply_text(store, text, base.version, note, arguments.patience)
@@ -169,7 +171,7 @@
     return EXIT_OK
 
 
-async def _watch_drain(arguments, item):
+async def _wait_for_drain(arguments, item):
     """Wait until what is drained has nothing in progress."""
     loop = asyncio.get_running_loop()
     end = loop.time() + arguments.timeout
@@ -188,7 +190,7 @@
                 silent = [f"{d.vm} {d.role}" for d in fleet if d.status is None]
                 if not count and not silent:
                     return EXIT_OK
-            await asyncio.sleep(WAIT_POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
     print(f"{item['name']} has not run empty yet", file=sys.stderr)
     if silent:
         print(f"no answer from {', '.join(silent)}", file=sys.stderr)
@@ -206,8 +208,8 @@
             vms = listed.unwrap().vms
             fleet = await read_fleet(vms, get_ports(arguments))
             newest = max((d.get_version(CONFIG_KIND) for d in fleet), default=0)
-            if newest > version and await _has_gone_back(store, newest):
-                return _tell_of_restored_platform(version, newest)
+            if newest > version and await _is_platform_older(store, newest):
+                return _fail_restored_platform(version, newest)
             behind = {
                 (d.vm, d.role) for d in fleet if d.get_version(CONFIG_KIND) < version
             }
@@ -219,18 +221,18 @@
             if not behind:
                 print(f"version {version} is in force everywhere", file=sys.stderr)
                 return EXIT_OK
-        await asyncio.sleep(WAIT_POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     names = ", ".join(f"{vm} {role}" for vm, role in sorted(behind))
     print(f"not yet in force: {names}", file=sys.stderr)
     return EXIT_TIMEOUT
 
 
-async def _has_gone_back(store, newest):
+async def _is_platform_older(store, newest):
     current = await read_current(store)
     return current.is_ok() and current.unwrap().version < newest
 
 
-def _tell_of_restored_platform(version, newest):
+def _fail_restored_platform(version, newest):
     print(
         f"the daemons hold version {newest}, newer than {version}: the platform "
         "has gone back; save what 'godwitctl get --in-force' prints, and apply "
@@ -244,7 +246,7 @@
     return read_text(text).unwrap().get(key, [])
 
 
-def _is_agreed(version):
+def _is_confirmed(version):
     if not sys.stdin.isatty():
         print("use --yes to send without being asked", file=sys.stderr)
         return False
@@ -254,14 +256,14 @@
 
 async def _fail_conflict(store, base_version):
     print(f"the text is based on version {base_version}", file=sys.stderr)
-    found = await find_version(store, base_version)
+    found = await find_applied(store, base_version)
     current = await read_current(store)
     if current.is_ok():
-        winner = current.unwrap()
-        words = f"version {winner.version} came first"
-        print(f"{words}: {winner.note or 'no note'}", file=sys.stderr)
+        latest = current.unwrap()
+        words = f"version {latest.version} came first"
+        print(f"{words}: {latest.note or 'no note'}", file=sys.stderr)
         if found.is_ok():
-            print_text_diff(found.unwrap(), winner.text)
+            print_text_diff(found.unwrap(), latest.text)
     print("nothing was sent; base your change on it and try again", file=sys.stderr)
     return EXIT_CONFLICT
 
--- a/godwitlanding/tests/benchmarks/bench_apply.py
+++ b/godwitlanding/tests/benchmarks/bench_apply.py
@@ -39,7 +39,7 @@
     loop = asyncio.get_running_loop()
     took_s = []
     try:
-        cluster.end_on_sigterm()
+        cluster.stop_on_sigterm()
         await cluster.start()
         load = Load(cluster)
         await load.start(*RATES)
--- a/godwitlanding/tests/benchmarks/bench_faults.py
+++ b/godwitlanding/tests/benchmarks/bench_faults.py
@@ -171,7 +171,7 @@
     cluster = Cluster(TEXT, network, log_directory=log_directory)
     loop = asyncio.get_running_loop()
     try:
-        cluster.end_on_sigterm()
+        cluster.stop_on_sigterm()
         await cluster.start()
         await cluster.standins.set_faults(list_lag_s=2.0, delay_s=0.003)
         load = Load(cluster)
--- a/godwitlanding/tests/benchmarks/bench_takeover.py
+++ b/godwitlanding/tests/benchmarks/bench_takeover.py
@@ -294,7 +294,7 @@
         cluster.send_signal(vm, "zone", signal.SIGTERM)
 
     async def start_again(vm):
-        await cluster.wait_for_end(vm, "zone")
+        await cluster.wait_for_exit(vm, "zone")
         await cluster.start_role(vm, "zone")
         await wait_until(cluster.is_ready, LIMIT_S, "the daemon to be ready")
 
--- a/godwitlanding/tests/daemons/test_processes.py
+++ b/godwitlanding/tests/daemons/test_processes.py
@@ -129,7 +129,7 @@
     change must take effect there once the zone is connected again.
     """
     cluster = run.cluster
-    await cluster.cut_from_platform("north-a")
+    await cluster.disconnect_from_platform("north-a")
 
     async def is_detected():
         status = await cluster.get_status(VM, "zone")
@@ -142,7 +142,7 @@
     path.write_text(cluster.text.replace("work_s: 0.04", "work_s: 0.041"))
     await cluster.run_ctl("apply", str(path), "--yes")
     await run.serve(3.0)
-    await cluster.cut_from_platform()
+    await cluster.disconnect_from_platform()
 
     async def is_everywhere():
         return len(set(await run.get_config_versions())) == 1
@@ -249,7 +249,9 @@
         new = f"north-a-new-{number}"
         cluster.add_vm(new, "north-a")
         await cluster.start_vm(new)
-        await wait_until(lambda: cluster.are_ready(new), LIMIT_S, f"{new} to be ready")
+        await wait_until(
+            lambda: cluster.is_vm_ready(new), LIMIT_S, f"{new} to be ready"
+        )
         assert await cluster.stop_vm(f"north-a-{number}") == [0, 0, 0]
     await run.serve(3.0)
     verdict = await run.finish()
--- a/godwitlanding/tests/gateway/test_feed.py
+++ b/godwitlanding/tests/gateway/test_feed.py
@@ -10,7 +10,7 @@
 from godwitlanding.gateway.changeset import ChangeSet
 from godwitlanding.gateway.feed import MAX_PART_BYTES, Feed
 from godwitlanding.gateway.mirror import Mirror
-from godwitlanding.tests.tools.network import claim_world_prefix
+from godwitlanding.tests.tools.network import claim_address_prefix
 
 KIND = "things"
 PORT = 7540
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 async def vms():
-    prefix = claim_world_prefix()
+    prefix = claim_address_prefix()
     vms = [Vm(f"vm-{number}", f"{prefix}{100 + number}") for number in range(3)]
     for vm in vms:
         await vm.feed.start(None)
--- a/godwitlanding/tests/gateway/test_platform_objects.py
+++ b/godwitlanding/tests/gateway/test_platform_objects.py
@@ -10,7 +10,7 @@
 from godwitlanding.platform.store import ObjectStore
 from godwitlanding.tests.gateway.world import make_config
 from godwitlanding.tests.standins.standin_store import StandinStore
-from godwitlanding.tests.tools.network import claim_world_prefix
+from godwitlanding.tests.tools.network import claim_address_prefix
 
 ENTRY = {
     "service": "s",
@@ -160,7 +160,7 @@
 
 @pytest.fixture
 async def standin():
-    standin = await StandinStore(f"{claim_world_prefix()}2", 8541).start()
+    standin = await StandinStore(f"{claim_address_prefix()}2", 8541).start()
     yield standin
     standin.crash()
 
--- a/godwitlanding/tests/gateway/test_platform_store.py
+++ b/godwitlanding/tests/gateway/test_platform_store.py
@@ -9,7 +9,7 @@
 from godwitlanding.platform import store as platform_store
 from godwitlanding.platform.store import ObjectStore
 from godwitlanding.tests.standins.standin_store import StandinStore
-from godwitlanding.tests.tools.network import claim_world_prefix
+from godwitlanding.tests.tools.network import claim_address_prefix
 
 KIND = "things"
 STORE_PORT = 8541
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 async def standin():
-    standin = await StandinStore(f"{claim_world_prefix()}2", STORE_PORT).start()
+    standin = await StandinStore(f"{claim_address_prefix()}2", STORE_PORT).start()
     yield standin
     standin.crash()
 
--- a/godwitlanding/tests/gateway/test_whole_path.py
+++ b/godwitlanding/tests/gateway/test_whole_path.py
@@ -7,7 +7,7 @@
 import aiohttp
 import pytest
 
-from godwitlanding.operator.logstory import read_story
+from godwitlanding.operator.logtimeline import read_timeline
 from godwitlanding.tests.gateway.world import GRACE_S, World, make_config
 
 
@@ -366,7 +366,7 @@
     response, _ = await world.pay(world.vms[0], 1)
     assert response.status == status
     await asyncio.sleep(0.3)
-    story = read_story([vm.log for vm in world.vms], "pay-1")
+    story = read_timeline([vm.log for vm in world.vms], "pay-1")
     told = " ".join(str(row.fields) for row in story if row.what.startswith("carrier"))
     for word in words:
         assert word in told, story
--- a/godwitlanding/tests/gateway/world.py
+++ b/godwitlanding/tests/gateway/world.py
@@ -13,7 +13,7 @@
 
 from godwitlanding.tests.standins.standin_store import StandinStore
 from godwitlanding.tests.standins.standin_worker import StandinWorker
-from godwitlanding.tests.tools.network import claim_world_prefix
+from godwitlanding.tests.tools.network import claim_address_prefix
 
 STORE_PORT = 8541
 WORKER_PORT = 9000
@@ -196,7 +196,7 @@
         self._workers_by_id = {}
 
     async def __aenter__(self):
-        self._prefix = claim_world_prefix()
+        self._prefix = claim_address_prefix()
         self.store = await StandinStore(f"{self._prefix}1", STORE_PORT).start()
         self.session = aiohttp.ClientSession()
         for worker_id, service, zone in self._workers:
--- a/godwitlanding/tests/operator/test_apply.py
+++ b/godwitlanding/tests/operator/test_apply.py
@@ -11,8 +11,8 @@
 pytestmark = pytest.mark.looptime
 
 
-async def _apply(store, text, base=0, patience_s=5.0):
-    return await apply_text(store, text, base, "note", patience_s)
+async def _apply(store, text, base=0, retry_limit_s=5.0):
+    return await apply_text(store, text, base, "note", retry_limit_s)
 
 
 async def test_applied_text_is_read_back_without_the_apply_line():
@@ -24,7 +24,7 @@
     assert current.note == "note"
 
 
-async def test_losing_operator_is_told_and_changes_nothing():
+async def test_conflicting_apply_is_rejected_and_changes_nothing():
     """Two operators edit the same version and both apply.
 
     The second would undo the first one's change unseen, were the write not
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("lost_answers", [1, 2, 3])
-async def test_lost_answer_is_settled(lost_answers):
+async def test_write_with_a_lost_response_is_resolved(lost_answers):
     """The platform commits the write and the answer is lost on the way.
 
     The operator sees the change accepted, with its true version, and the
@@ -57,7 +57,7 @@
     assert [entry.text for entry in history] == ["{a: 1}", "{}"]
 
 
-async def test_lost_answer_is_settled_after_another_change():
+async def test_write_with_a_lost_response_is_resolved_after_another_change():
     """The answer is lost and a second operator changes the text at once.
 
     The first sees a conflict although its change was in force; it must not
@@ -67,14 +67,14 @@
     base = (await _apply(store, "{}")).unwrap()
     store.lost_answers = 2  # the one for the history, and the one for the text
 
-    async def overtake():
+    async def apply_second_change():
         while (await read_current(store)).unwrap().text != "{a: 1}":
             await asyncio.sleep(0.01)
         mine = (await read_current(store)).unwrap()
         return (await _apply(store, "{b: 1}", mine.version)).unwrap()
 
     first, second = await asyncio.gather(
-        _apply(store, "{a: 1}", base.version), overtake()
+        _apply(store, "{a: 1}", base.version), apply_second_change()
     )
     assert first.unwrap().text == "{a: 1}"
     assert first.unwrap().version < second.version
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize(("outage_s", "accepted"), [(2.0, True), (60.0, False)])
-async def test_outage_is_waited_out_as_long_as_the_operator_says(outage_s, accepted):
+async def test_apply_retries_during_an_outage_up_to_its_limit(outage_s, accepted):
     """The platform is away when an operator applies.
 
     A short outage only delays the answer; in a long one the operator gets
--- a/godwitlanding/tests/operator/test_ctl.py
+++ b/godwitlanding/tests/operator/test_ctl.py
@@ -6,7 +6,7 @@
 
 from godwitlanding.ctl import main
 from godwitlanding.operator import changes, terminal
-from godwitlanding.operator.inventory import DaemonStatus
+from godwitlanding.operator.daemonclient import DaemonStatus
 from godwitlanding.tests.base.test_config import TEXT
 from godwitlanding.tests.support import FakeStore
 
@@ -29,14 +29,14 @@
     return main(["apply", str(path), "--yes", *options])
 
 
-def test_validate_lists_mistakes(tmp_path, capsys):
+def test_validate_lists_problems(tmp_path, capsys):
     path = tmp_path / "bad.json5"
     path.write_text(TEXT.replace("lookup", "look").replace("format: 1", "format: 5"))
     assert main(["validate", str(path), "--json"]) == terminal.EXIT_INVALID
     assert len(json.loads(capsys.readouterr().out)["problems"]) == 2
 
 
-def test_missing_file_is_told(capsys):
+def test_missing_file_is_reported(capsys):
     assert main(["validate", "nowhere.json5"]) == terminal.EXIT_FAILED
     assert "nowhere.json5" in capsys.readouterr().err
 
@@ -49,7 +49,7 @@
     assert json.loads(capsys.readouterr().out)[0]["note"] == "first"
 
 
-def test_apply_of_an_older_base_is_refused_and_shows_the_difference(
+def test_apply_on_an_older_base_is_rejected_and_shows_the_difference(
     store, text_file, capsys
 ):
     """An operator worked for an hour on a text that somebody else changed.
@@ -65,12 +65,12 @@
     assert '+    {what: "upstream", name: "status-1"}' in capsys.readouterr().err
 
 
-def test_nothing_is_sent_without_consent(store, text_file, capsys):
+def test_nothing_is_written_without_confirmation(store, text_file, capsys):
     assert main(["apply", str(text_file)]) == terminal.EXIT_FAILED
     assert store.writes == 0
 
 
-def test_drain_is_an_edit_that_can_be_ended(store, text_file, capsys):
+def test_drain_is_added_once_and_ended(store, text_file, capsys):
     _apply(text_file)
     assert main(["drain", "upstream", "status-1", "--yes"]) == terminal.EXIT_OK
     assert main(["drain", "upstream", "status-1", "--yes"]) == terminal.EXIT_FAILED
@@ -79,14 +79,14 @@
     assert "drains: [" in _run(capsys, "get")
 
 
-def test_drain_of_something_unknown_is_refused(store, text_file, capsys):
+def test_drain_of_an_unknown_upstream_is_rejected(store, text_file, capsys):
     _apply(text_file)
     code = main(["drain", "upstream", "status-9", "--yes"])
     assert code == terminal.EXIT_INVALID
     assert "an upstream of this text" in capsys.readouterr().err
 
 
-def test_shift_is_made_paused_and_moved_back(store, text_file, capsys):
+def test_shift_is_created_paused_reversed_and_removed(store, text_file, capsys):
     _apply(text_file)
     options = "--service status --from n-b --to n-a --share 0.3 --cap-share 0.1"
     assert main(["shift", "other", *options.split(), "--yes"]) == terminal.EXIT_OK
@@ -98,7 +98,7 @@
     assert '"go"' not in _run(capsys, "get")
 
 
-def test_rollback_makes_a_new_version_of_an_old_text(store, text_file, capsys):
+def test_rollback_applies_an_earlier_text_as_a_new_version(store, text_file, capsys):
     _apply(text_file)
     first = json.loads(_run(capsys, "get", "--json"))
     main(["drain", "upstream", "status-1", "--yes"])
@@ -108,13 +108,13 @@
     assert last["version"] > first["version"]
 
 
-def test_platform_that_does_not_answer_has_its_own_exit_code(store, text_file, capsys):
+def test_unavailable_platform_has_its_own_exit_code(store, text_file, capsys):
     store.set_available(False)
     assert _apply(text_file, "--patience", "0") == terminal.EXIT_PLATFORM
     assert "[6001]" in capsys.readouterr().err
 
 
-def test_lost_answer_of_a_write_is_told_as_unknown(store, text_file, capsys):
+def test_write_with_a_lost_response_is_reported_as_unknown(store, text_file, capsys):
     """The write may have taken effect, and the platform stays away.
 
     An operator told "failed" would apply again over somebody's later change.
@@ -138,7 +138,7 @@
         (99, terminal.EXIT_TIMEOUT, "has gone back"),
     ],
 )
-def test_wait_tells_whether_the_change_is_in_force(
+def test_wait_reports_whether_the_change_is_in_force(
     store, text_file, capsys, monkeypatch, held, code, words
 ):
     """The platform was restored from a backup, or a VM lags behind.
@@ -164,7 +164,7 @@
         (0, False, terminal.EXIT_TIMEOUT, "no answer from a1 zone"),
     ],
 )
-def test_drain_is_over_only_when_every_daemon_says_so(
+def test_drain_is_over_only_when_every_daemon_reports_it(
     store, text_file, capsys, monkeypatch, in_progress, answers, code, words
 ):
     """A daemon that counts the requests of a drained upstream is silent.
--- a/godwitlanding/tests/operator/test_edit.py
+++ b/godwitlanding/tests/operator/test_edit.py
@@ -40,7 +40,7 @@
         '{drains: [\n{\nwhat: "vm", // why\nname: "a1",\n},\n]}',
     ],
 )
-def test_item_written_by_hand_is_replaced_and_removed(text):
+def test_existing_item_is_replaced_and_removed(text):
     replaced = replace_item(text, "drains", DRAIN, {**DRAIN, "name": "c1"}).unwrap()
     names = [item["name"] for item in _value(replaced)["drains"]]
     assert "c1" in names and "a1" not in names
@@ -49,7 +49,7 @@
     assert _value(removed)["drains"] == kept
 
 
-def test_edit_is_refused_where_it_would_change_more():
+def test_key_inside_a_string_is_not_edited():
     """The same words stand in a string that the operator wrote.
 
     An edit by words alone would have changed the string; the operator
@@ -61,5 +61,5 @@
 
 
 @pytest.mark.parametrize("text", ["", "[1]", "{a: }"])
-def test_broken_text_is_not_edited(text):
+def test_invalid_text_is_not_edited(text):
     assert add_item(text, "drains", DRAIN).is_err()
--- a/godwitlanding/tests/operator/test_logstory.py
+++ b/godwitlanding/tests/operator/test_logtimeline.py
@@ -5,7 +5,7 @@
 import pytest
 
 from godwitlanding.ctl import main
-from godwitlanding.operator.logstory import read_story
+from godwitlanding.operator.logtimeline import read_timeline
 from godwitlanding.operator.terminal import EXIT_FAILED, EXIT_OK
 
 LINES_BY_VM = {
@@ -53,10 +53,10 @@
     return paths
 
 
-def test_story_joins_the_request_its_upstreams_and_its_vms(logs):
+def test_timeline_joins_lines_of_the_request_its_upstreams_and_its_vms(logs):
     # A payment failed; on call has the logs of all VMs and the request's id.
-    story = read_story(logs, "r1")
-    assert [(row.at, row.vm, row.what) for row in story] == [
+    timeline = read_timeline(logs, "r1")
+    assert [(row.at, row.vm, row.what) for row in timeline] == [
         (99.0, "vm-1", "courier:ejected"),
         (100.1, "vm-2", "registry:upstream_gone"),
         (100.2, "vm-1", "carrier:attempt"),
@@ -65,30 +65,30 @@
         (100.9, "vm-2", "carrier:done"),
         (101.0, "vm-1", "kernel:stopping"),
     ]
-    assert story[2].fields == {"upstream": "u1", "outcome": "unknown"}
+    assert timeline[2].fields == {"upstream": "u1", "outcome": "unknown"}
 
 
-def test_unknown_request_has_no_story(logs):
-    assert read_story(logs, "r9") == []
+def test_unknown_request_has_an_empty_timeline(logs):
+    assert read_timeline(logs, "r9") == []
 
 
 @pytest.mark.parametrize("as_json", [False, True])
-def test_command_tells_the_story(logs, capsys, as_json):
+def test_command_prints_the_timeline(logs, capsys, as_json):
     words = ["explain", "r1", "--logs", *logs] + ["--json"] * as_json
     assert main(words) == EXIT_OK
-    told = capsys.readouterr().out
-    assert "UPSTREAM_FAILED" in told
+    output = capsys.readouterr().out
+    assert "UPSTREAM_FAILED" in output
     if as_json:
-        assert len(json.loads(told)) == 7
+        assert len(json.loads(output)) == 7
     else:
-        assert "+1.300" in told
+        assert "+1.300" in output
 
 
 @pytest.mark.parametrize(
     ("request_id", "missing", "says"),
     [("r9", "", "no line names it"), ("r1", "none.log", "none.log")],
 )
-def test_command_says_what_is_wrong(logs, capsys, request_id, missing, says):
+def test_command_reports_its_error(logs, capsys, request_id, missing, expected_text):
     files = [*logs, missing] if missing else logs
     assert main(["explain", request_id, "--logs", *files]) == EXIT_FAILED
-    assert says in capsys.readouterr().err
+    assert expected_text in capsys.readouterr().err
--- a/godwitlanding/tests/operator/test_survey.py
+++ b/godwitlanding/tests/operator/test_summary.py
@@ -6,8 +6,8 @@
 from godwitlanding.base.codes import Code, make_refusal
 from godwitlanding.base.storetypes import StoredObject
 from godwitlanding.decisions.plan import EMPTY_PLAN, format_plan
-from godwitlanding.operator.inventory import DaemonStatus
-from godwitlanding.operator.survey import (
+from godwitlanding.operator.daemonclient import DaemonStatus
+from godwitlanding.operator.summary import (
     count_in_progress,
     read_plan,
     summarise_leases,
@@ -43,12 +43,12 @@
 PLAN = Ok(StoredObject("plan", "main", 5, format_plan(PLAN_VALUE)))
 
 
-def test_daemon_with_an_older_text_is_named():
+def test_daemon_with_an_older_text_is_listed():
     (row,) = summarise_vms(FLEET, 7)
     assert (row.zone, row.entry, row.behind) == ("ready", "no answer", "zone 6")
 
 
-def test_service_shows_slots_and_what_is_out():
+def test_service_row_shows_slots_and_excluded_upstreams():
     (row,) = summarise_services(FLEET)
     assert row[3:] == (9, 6, 4, 2, "u1 (ejected), u2 (draining)")
     assert summarise_services(FLEET, "other") == []
@@ -64,19 +64,19 @@
         ({"what": "vm", "name": "a2"}, 5),
     ],
 )
-def test_drain_is_watched_until_nothing_is_in_progress(item, count):
+def test_requests_in_progress_of_a_drain_are_counted(item, count):
     """An operator who stopped an upstream too early would cut requests off."""
     fleet = [*FLEET, DaemonStatus("a2", "n-a", "entry", "ready", ENTRY)]
     assert count_in_progress(fleet, item) == count
 
 
-def test_leases_without_a_planner_are_empty():
+def test_missing_lease_has_an_empty_summary():
     missing = Err(make_refusal(Code.NOT_FOUND))
     assert summarise_leases(missing, missing) == {}
     assert summarise_leases(missing, PLAN)["shift go"] == "20.0% moved"
 
 
-def test_plan_shows_shares_and_allowances():
+def test_plan_rows_show_shares_and_allowances():
     rows = summarise_plan(read_plan(PLAN))
     assert [tuple(row) for row in rows] == [
         ("status", "n-a", "n-a", 0.8, 0),
@@ -84,6 +84,6 @@
     ]
 
 
-def test_unreadable_plan_shows_nothing():
+def test_unreadable_plan_has_no_rows():
     broken = Ok(StoredObject("plan", "main", 5, b'{"of a newer version": 1}'))
     assert summarise_plan(read_plan(broken)) == []
--- a/godwitlanding/tests/operator/test_workspaces.py
+++ b/godwitlanding/tests/operator/test_workspaces.py
@@ -12,7 +12,7 @@
 from godwitlanding.gateway.pages import Page, PageServer
 from godwitlanding.gateway.workspacegauges import MAX_SHOWN, OTHERS, WorkspaceGauges
 from godwitlanding.operator.workspaces import WorkspaceRow, read_rows
-from godwitlanding.tests.tools.network import claim_world_prefix
+from godwitlanding.tests.tools.network import claim_address_prefix
 
 TEXT = """# HELP workspace_sent
 workspace_limit_per_s{of="office",otel_scope_name="godwitlanding"} 30.0
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("workspaces", [0, 1, MAX_SHOWN, MAX_SHOWN + 3])
-def test_those_that_ask_for_most_are_shown_by_name(workspaces):
+def test_busiest_workspaces_are_shown_by_name(workspaces):
     allotments = Allotments("a", ("a",), Tolerance(), 0.0)
     rows = [Workspace(f"w{number}", 100.0, 100.0) for number in range(workspaces)]
     allotments.set_workspaces(rows, 0.0)
@@ -49,8 +49,8 @@
 
 
 @pytest.mark.parametrize(("served", "code"), [(True, 0), (False, 1)])
-async def test_command_shows_what_vms_serve(served, code, capsys):
-    address = (f"{claim_world_prefix()}9", 9464)
+async def test_command_shows_the_gauges_of_vms(served, code, capsys):
+    address = (f"{claim_address_prefix()}9", 9464)
     pages = {"/metrics": lambda query: Page(200, "text/plain", TEXT.encode())}
     server = PageServer("metrics", address, pages if served else {})
     await server.start(SimpleNamespace())
--- a/godwitlanding/tests/soak/test_soak.py
+++ b/godwitlanding/tests/soak/test_soak.py
@@ -12,7 +12,7 @@
 from godwitlanding.tests.soak.run import format_report, run_faults
 from godwitlanding.tests.soak.schedule import FAULT_WINDOW_S, Fault, draw_faults
 from godwitlanding.tests.standins.standin_worker import make_echo
-from godwitlanding.tests.tools.network import claim_world_prefix
+from godwitlanding.tests.tools.network import claim_address_prefix
 
 # The second seed draws upstreams that report a limit, leave and send
 # Retry-After.
@@ -280,7 +280,7 @@
     + [(mode, False) for mode in ("silent", "deaf_up", "deaf_down")],
 )
 async def test_link_mode(mode, is_forwarded):
-    prefix = claim_world_prefix()
+    prefix = claim_address_prefix()
     server = await asyncio.start_server(_serve_echo, f"{prefix}30", 9000)
     link = await Link((f"{prefix}31", 9000), (f"{prefix}30", 9000)).start()
     reader, writer = await asyncio.open_connection(*link.address)
--- a/godwitlanding/tests/tools/chaos.py
+++ b/godwitlanding/tests/tools/chaos.py
@@ -23,9 +23,9 @@
 RATES = (Rate("status", 40.0), Rate("renewal", 15.0), Rate("passes", 4.0))
 ROLES = ("zone", "entry", "steer")
 ROUNDS = 3
-MEND_S = 4.0
+RECOVERY_S = 4.0
 SERVE_S = 1.0
-LIMIT_S = 90.0
+CONVERGENCE_TIMEOUT_S = 90.0
 
 
 async def kill_vm(cluster, rng):
@@ -63,7 +63,7 @@
     await cluster.start_vm(vm)
 
 
-async def take_platform_away(cluster, rng):
+async def interrupt_platform(cluster, rng):
     """The platform refuses, or takes calls and never answers."""
     how = rng.choice(("refuse", "hang"))
     await cluster.standins.set_faults(outage=how)
@@ -78,7 +78,7 @@
     await cluster.standins.set_faults(delay_s=0.0)
 
 
-async def lose_answers(cluster, rng):
+async def lose_responses(cluster, rng):
     """The platform does writes and loses their answers."""
     await cluster.standins.set_faults(lost_answers=rng.randint(1, 40))
 
@@ -97,7 +97,7 @@
     await cluster.standins.change_upstream(upstream, draining=False)
 
 
-async def lie_on_health(cluster, rng):
+async def misreport_health(cluster, rng):
     """Every health endpoint says that its upstream fails."""
     await cluster.standins.change_upstream("all", health="always_bad")
     await asyncio.sleep(rng.uniform(1.0, 5.0))
@@ -121,19 +121,19 @@
     kill_role,
     pause,
     stop_vm,
-    take_platform_away,
+    interrupt_platform,
     slow_platform,
-    lose_answers,
+    lose_responses,
     crash_upstream,
     drain_upstream,
-    lie_on_health,
+    misreport_health,
     race_operators,
 )
 _VM_FAULTS = {kill_vm, kill_role, pause, stop_vm}
-_PLATFORM_FAULTS = {take_platform_away, slow_platform}
+_PLATFORM_FAULTS = {interrupt_platform, slow_platform}
 
 
-def draw_pair(rng):
+def choose_fault_pair(rng):
     """Return two faults that can be mended beside each other."""
     while True:
         pair = rng.sample(FAULTS, 2)
@@ -154,7 +154,7 @@
         await load.start(*RATES)
         await load.serve(SERVE_S)
         for _ in range(rounds):
-            pair = draw_pair(rng)
+            pair = choose_fault_pair(rng)
             names.append("+".join(fault.__name__ for fault in pair))
             # Each has numbers of its own, so that the times at which they
             # run do not change what the seed draws.
@@ -162,7 +162,7 @@
             await asyncio.gather(
                 *(fault(cluster, own) for fault, own in zip(pair, rngs, strict=True))
             )
-            await asyncio.sleep(MEND_S)
+            await asyncio.sleep(RECOVERY_S)
         await load.serve(SERVE_S)
         await _wait_for_one_version(cluster)
         verdict = await load.judge(may_cut=True)
@@ -174,7 +174,7 @@
 async def _wait_for_one_version(cluster):
     """Wait until every process has the configuration that is accepted."""
 
-    async def is_one():
+    async def has_one_version():
         versions = set()
         for vm in cluster.vm_by_name:
             for role in ROLES:
@@ -183,7 +183,11 @@
                 versions.add(held.get("config/main", 0))
         return len(versions) == 1 and versions != {0}
 
-    await wait_until(is_one, LIMIT_S, "one version of the configuration everywhere")
+    await wait_until(
+        has_one_version,
+        CONVERGENCE_TIMEOUT_S,
+        "one version of the configuration everywhere",
+    )
 
 
 def _list_upstreams(cluster):
@@ -193,17 +197,17 @@
 
 async def run_seeds(seeds, jobs, rounds, log_directory=None):
     """Run many seeds, some at a time; return how many showed a fault."""
-    todo = list(reversed(seeds))
+    pending_seeds = list(reversed(seeds))
     failed = []
 
-    async def work():
+    async def run_pending_seeds():
         network = claim_test_network()
-        while todo:
-            seed = todo.pop()
+        while pending_seeds:
+            seed = pending_seeds.pop()
             if not await _run_and_print(seed, network, rounds, log_directory):
                 failed.append(seed)
 
-    await asyncio.gather(*(work() for _ in range(jobs)))
+    await asyncio.gather(*(run_pending_seeds() for _ in range(jobs)))
     return sorted(failed)
 
 
--- a/godwitlanding/tests/tools/cluster.py
+++ b/godwitlanding/tests/tools/cluster.py
@@ -27,12 +27,12 @@
 
 ROLES = ("zone", "entry", "steer")
 PORT_BY_ROLE = {"steer": 7001, "entry": 7002, "zone": 7003}
-POLL_S = 0.1
-START_LIMIT_S = 40.0
-STOP_LIMIT_S = 90.0
-PLATFORM = ("standin", "platform")
-UPSTREAMS = ("standin", "upstream")
-_STANDINS = "godwitlanding.tests.standins"
+POLL_INTERVAL_S = 0.1
+START_TIMEOUT_S = 40.0
+STOP_TIMEOUT_S = 90.0
+PLATFORM_KEY = ("standin", "platform")
+UPSTREAMS_KEY = ("standin", "upstream")
+_STANDINS_PACKAGE = "godwitlanding.tests.standins"
 
 
 class Vm(NamedTuple):
@@ -44,14 +44,14 @@
     state: str = "live"
 
 
-async def wait_until(check, limit_s, what):
+async def wait_until(check, timeout_s, what):
     """Wait until ``await check()`` is true; ``TimeoutError`` says for what."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + limit_s
+    end = loop.time() + timeout_s
     while not await check():
         if loop.time() > end:
-            raise TimeoutError(f"waited {limit_s} s in vain for {what}")
-        await asyncio.sleep(POLL_S)
+            raise TimeoutError(f"waited {timeout_s} s in vain for {what}")
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
 class Cluster:
@@ -84,7 +84,7 @@
             for number in range(1, vms_per_zone + 1):
                 self.add_vm(f"{zone}-{number}", zone)
 
-    def end_on_sigterm(self):
+    def stop_on_sigterm(self):
         """Let SIGTERM cancel the calling task, so that it reaches ``stop``.
 
         A script that is killed outright leaves its processes running, and
@@ -107,7 +107,7 @@
             return self._has_failed() or await self.is_ready()
 
         try:
-            await wait_until(is_done, START_LIMIT_S, "every daemon to be ready")
+            await wait_until(is_done, START_TIMEOUT_S, "every daemon to be ready")
             if self._has_failed():
                 raise TimeoutError("a process has ended by itself")
         except TimeoutError as error:
@@ -141,7 +141,7 @@
         module = f"godwitlanding.{role}"
         await self._processes.spawn((vm, role), module, "--settings", path)
 
-    async def wait_for_end(self, vm, role):
+    async def wait_for_exit(self, vm, role):
         """Return the exit code of a daemon once it has ended."""
         return await self._processes.wait((vm, role))
 
@@ -172,12 +172,12 @@
         for role in ROLES:
             self.send_signal(vm, role, signal.SIGTERM)
         ends = [self._processes.wait((vm, role)) for role in ROLES]
-        codes = await asyncio.wait_for(asyncio.gather(*ends), STOP_LIMIT_S)
+        codes = await asyncio.wait_for(asyncio.gather(*ends), STOP_TIMEOUT_S)
         del self._listed_by_vm[vm]
         await self._list_vms()
         return codes
 
-    async def cut_from_platform(self, *zones):
+    async def disconnect_from_platform(self, *zones):
         """Cut these zones off from the platform, and no others."""
         hosts = [self.platform_host_by_zone[zone] for zone in zones]
         await self.standins.set_faults(cut_hosts=hosts)
@@ -187,7 +187,7 @@
         checks = [self._is_role_ready(*key) for key in self._get_daemon_keys()]
         return all(await asyncio.gather(*checks))
 
-    async def are_ready(self, vm):
+    async def is_vm_ready(self, vm):
         """Tell whether a VM's three daemons say that they are ready."""
         return all([await self._is_role_ready(vm, role) for role in ROLES])
 
@@ -228,7 +228,7 @@
                 lines += [f"{' '.join(key)}: {line}" for line in last or ["no log"]]
         return "\n".join(["", *lines[:20]])
 
-    def _find_platform(self, vm):
+    def _get_platform_host(self, vm):
         return self.platform_host_by_zone[self.vm_by_name[vm].availability_zone]
 
     def _make_settings(self, vm):
@@ -236,7 +236,7 @@
             "vm": vm,
             "address": self.vm_by_name[vm].address,
             "availability_zone": self.vm_by_name[vm].availability_zone,
-            "platform_url": f"http://{self._find_platform(vm)}:{PLATFORM_PORT}",
+            "platform_url": f"http://{self._get_platform_host(vm)}:{PLATFORM_PORT}",
             "trust_caller_header": True,
             **self._settings,
         }
@@ -244,27 +244,27 @@
     async def _start_standins(self, text_path):
         control = self._network.control
         await self._processes.spawn(
-            PLATFORM,
-            f"{_STANDINS}.standin_platform",
+            PLATFORM_KEY,
+            f"{_STANDINS_PACKAGE}.standin_platform",
             *("--host", control, "--port", PLATFORM_PORT),
             *("--also", *self.platform_host_by_zone.values()),
         )
         await self._processes.spawn(
-            UPSTREAMS,
-            f"{_STANDINS}.standin_upstream",
+            UPSTREAMS_KEY,
+            f"{_STANDINS_PACKAGE}.standin_upstream",
             *("--config", text_path, "--control", f"{control}:{CONTROL_PORT}"),
         )
 
         async def are_up():
             # Another cluster at the same addresses would answer in their
             # place and the two would change each other's objects.
-            for key in (PLATFORM, UPSTREAMS):
+            for key in (PLATFORM_KEY, UPSTREAMS_KEY):
                 if self._processes.has_ended(key):
                     log = self._processes.read_log(key)
                     raise RuntimeError(f"{key} has ended: {log[-300:]}")
             return await self.standins.are_up()
 
-        await wait_until(are_up, START_LIMIT_S, "the stand-ins to answer")
+        await wait_until(are_up, START_TIMEOUT_S, "the stand-ins to answer")
 
     def _get_daemon_keys(self):
         return [key for key in self._processes.get_keys() if key[1] in ROLES]
--- a/godwitlanding/tests/tools/demo.py
+++ b/godwitlanding/tests/tools/demo.py
@@ -18,7 +18,7 @@
 from godwitlanding.tests.soak.schedule import Fault
 from godwitlanding.tests.tools.processes import ROOT
 
-LIMIT_S = 58.0
+TIMEOUT_S = 58.0
 FAULTS = (
     Fault(2.0, 2.0, "vm", "kill", 0),
     Fault(3.5, 1.0, "upstream", "drain", 2),
@@ -26,7 +26,7 @@
     Fault(7.5, 1.0, "operator", "config", 0),
 )
 # Names of broken promises, as the judge gives them, by the word of the line.
-COUNTED = {
+PROBLEM_PREFIXES_BY_FIGURE = {
     "doubled": ("TWICE",),
     "cut": ("LOST", "HELD"),
     "mixed": ("MIXED",),
@@ -41,7 +41,7 @@
     sent = sum(outcomes.values())
     broken = {
         word: sum(problem.startswith(names) for problem in report.problems)
-        for word, names in COUNTED.items()
+        for word, names in PROBLEM_PREFIXES_BY_FIGURE.items()
     }
     figures = {
         "sent": sent,
@@ -59,7 +59,7 @@
     """Run it all; return the soak's ``Report``."""
     # What the stand-ins' servers say when faults end their calls.
     logging.disable(logging.CRITICAL)
-    return asyncio.run(asyncio.wait_for(run_faults(1, FAULTS, folder), LIMIT_S))
+    return asyncio.run(asyncio.wait_for(run_faults(1, FAULTS, folder), TIMEOUT_S))
 
 
 def parse_arguments(argv=None):
--- a/godwitlanding/tests/tools/demo_daemons.py
+++ b/godwitlanding/tests/tools/demo_daemons.py
@@ -18,8 +18,8 @@
 from godwitlanding.tests.tools.network import claim, make_network
 from godwitlanding.tests.tools.processes import ROOT
 
-LIMIT_S = 58.0
-DRIVE_S = 20.0
+TIMEOUT_S = 58.0
+LOAD_S = 20.0
 LIST_LAG_S = 2.0
 DRAIN_AT_S = 5.0
 KILL_AT_S = 9.0
@@ -28,17 +28,17 @@
 RATES = (Rate("status", 60.0), Rate("renewal", 12.0), Rate("passes", 6.0))
 
 
-async def run_demo(sample, network, drive_s=DRIVE_S, log_directory=None):
+async def run_demo(sample, network, load_s=LOAD_S, log_directory=None):
     """Run it all; return the verdict after printing the table."""
     cluster = Cluster(sample.read_text(), network, log_directory=log_directory)
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     try:
         print(f"starting {len(cluster.vm_by_name)} entry VMs and the stand-ins")
-        cluster.end_on_sigterm()
+        cluster.stop_on_sigterm()
         await cluster.start()
         await cluster.standins.set_faults(list_lag_s=LIST_LAG_S)
-        print(f"ready after {loop.time() - began:.1f} s; driving {drive_s:.0f} s")
+        print(f"ready after {loop.time() - started_at:.1f} s; driving {load_s:.0f} s")
         load = Load(cluster)
         await load.start(*RATES)
         await asyncio.sleep(DRAIN_AT_S)
@@ -46,7 +46,7 @@
         await asyncio.sleep(KILL_AT_S - DRAIN_AT_S)
         print(f"killing {KILLED_VM}")
         await cluster.kill_vm(KILLED_VM)
-        await asyncio.sleep(max(0.0, drive_s - KILL_AT_S))
+        await asyncio.sleep(max(0.0, load_s - KILL_AT_S))
         tally = await load.end()
         stats = await cluster.standins.get_upstream_stats()
         counters = await read_counters(cluster)
@@ -84,8 +84,8 @@
 def print_table(tally, stats, counters):
     """Print what callers and upstreams counted."""
     columns = "{:<10} {:>6} {:>9} {:>8} {:>8} {:>8} {:>8} {:>8}"
-    heads = ("service", "sent", "complete", "refused", "unknown")
-    print(columns.format(*heads, "p50 ms", "p90 ms", "p99 ms"))
+    titles = ("service", "sent", "complete", "refused", "unknown")
+    print(columns.format(*titles, "p50 ms", "p90 ms", "p99 ms"))
     for service, sent in sorted(tally.sent_by_service.items()):
         outcomes = ("complete", "refused", "unknown")
         counts = [tally.count(outcome, service) for outcome in outcomes]
@@ -115,7 +115,7 @@
         "--sample", type=Path, default=ROOT / "samples/demo.json5", help="Text to apply"
     )
     parser.add_argument(
-        "--seconds", type=float, default=DRIVE_S, help="How long to send requests"
+        "--seconds", type=float, default=LOAD_S, help="How long to send requests"
     )
     parser.add_argument(
         "--loopback",
@@ -137,7 +137,7 @@
         return 1
     demo = run_demo(arguments.sample, network, arguments.seconds, arguments.logs)
     try:
-        verdict = asyncio.run(asyncio.wait_for(demo, LIMIT_S))
+        verdict = asyncio.run(asyncio.wait_for(demo, TIMEOUT_S))
     except (TimeoutError, RuntimeError) as error:
         print(f"demo: failed {error or 'it took too long'}")
         return 1
--- a/godwitlanding/tests/tools/network.py
+++ b/godwitlanding/tests/tools/network.py
@@ -11,16 +11,16 @@
 from functools import cache
 from typing import NamedTuple
 
-GUARD_PORT = 7900
+CLAIM_PORT = 7900
 # VMs are numbered below, at most eight of them.
 FIRST_PLATFORM_NUMBER = 9
-TEST_SLOTS = 16
-TEST_SLOT_ADDRESSES = 16
+TEST_NETWORKS = 16
+ADDRESSES_PER_TEST_NETWORK = 16
 FIRST_UPSTREAM_NET = 64
-FIRST_WORLD_NET = 96
-WORLD_NETS = 32
+FIRST_PROCESS_NET = 96
+PROCESS_NETS = 32
 _SAMPLE_ADDRESS = re.compile(r"127\.0\.[23]\.(\d+)")
-_guards = []
+_claim_sockets = []
 
 
 class Network(NamedTuple):
@@ -62,20 +62,20 @@
     """Tell whether nobody else has the network; keep it until the end."""
     guard = socket.socket()
     try:
-        guard.bind((network.control, GUARD_PORT))
+        guard.bind((network.control, CLAIM_PORT))
         guard.listen()
     except OSError:
         guard.close()
         return False
-    _guards.append(guard)
+    _claim_sockets.append(guard)
     return True
 
 
 def claim_test_network():
     """Return a small network that no other run of the tests has."""
-    for slot in range(TEST_SLOTS):
-        offset = slot * TEST_SLOT_ADDRESSES
-        control = f"127.0.10.{offset + TEST_SLOT_ADDRESSES - 1}"
+    for slot in range(TEST_NETWORKS):
+        offset = slot * ADDRESSES_PER_TEST_NETWORK
+        control = f"127.0.10.{offset + ADDRESSES_PER_TEST_NETWORK - 1}"
         # Samples have up to 40 upstreams, more than a slot has addresses.
         upstreams = f"127.0.{FIRST_UPSTREAM_NET + slot}."
         network = Network("127.0.10.", upstreams, control, offset)
@@ -85,9 +85,9 @@
 
 
 @cache
-def claim_world_prefix():
+def claim_address_prefix():
     """Return the prefix of 250 addresses that only this process uses."""
-    for net in range(FIRST_WORLD_NET, FIRST_WORLD_NET + WORLD_NETS):
+    for net in range(FIRST_PROCESS_NET, FIRST_PROCESS_NET + PROCESS_NETS):
         prefix = f"127.0.{net}."
         if claim(Network(prefix, prefix, f"{prefix}250")):
             return prefix
--- a/godwitlanding/tests/tools/play.py
+++ b/godwitlanding/tests/tools/play.py
@@ -30,7 +30,7 @@
     cluster = Cluster(sample.read_text(), network)
     try:
         print(f"starting {len(cluster.vm_by_name)} entry VMs and the stand-ins")
-        cluster.end_on_sigterm()
+        cluster.stop_on_sigterm()
         await cluster.start()
         vm = next(iter(cluster.vm_by_name))
         print(
--- a/godwitlanding/tests/tools/test_demo.py
+++ b/godwitlanding/tests/tools/test_demo.py
@@ -23,7 +23,7 @@
         ),
     ],
 )
-def test_last_line(problems, expected):
+def test_last_line_reports_counts_and_verdict(problems, expected):
     outcomes = {"200": 6, "503": 2, "closed": 1}
     report = Report(1, (), problems, outcomes, (), 1.0)
     assert format_line(report) == expected
