--- a/godwitlanding/tests/benchmarks/bench_decisions.py
+++ b/godwitlanding/tests/benchmarks/bench_decisions.py
@@ -15,7 +15,7 @@
 from godwitlanding.tests.load.load_designs import (
     DESIGNS,
     HashByKey,
-    LeastLoadedOld,
+    LeastLoadedStale,
 )
 from godwitlanding.tests.load.load_driver import Run
 from godwitlanding.tests.load.load_patterns import WORKLOADS, make_patterns
@@ -26,8 +26,8 @@
 EXTRA_DESIGNS_BY_PATTERN = {
     "hot key": (HashByKey,),
     "slow upstream 10x": (Hedged,),
-    "steady 70%": (Hedged, LeastLoadedOld),
-    "reports stop": (LeastLoadedOld,),
+    "steady 70%": (Hedged, LeastLoadedStale),
+    "reports stop": (LeastLoadedStale,),
 }
 HEADINGS = (
     "design",
--- a/godwitlanding/tests/benchmarks/bench_faults.py
+++ b/godwitlanding/tests/benchmarks/bench_faults.py
@@ -183,7 +183,7 @@
         await asyncio.sleep(max(AFTER_S, began + DURING_S + AFTER_S - loop.time()))
         took_s = loop.time() - began
         after = await cluster.standins.get_platform_stats()
-        verdict = await load.judge(may_cut=True)
+        verdict = await load.evaluate_run(may_cut=True)
     finally:
         await cluster.stop()
     if timeline:
@@ -193,13 +193,13 @@
 
 def make_row(name, tally, verdict, began, before, after, took_s):
     """Return the row of a finished run."""
-    bad = [end.at for end in tally.ends if end.final.outcome != "complete"]
+    bad = [end.at for end in tally.ends if end.result.outcome != "complete"]
     last = max([at for at in bad if at >= began], default=began)
     rates = {k: (after[k] - before[k]) / took_s for k in ("reads", "writes", "watches")}
     reasons = {
-        f"{service} {final.outcome} {final.reason}": count
-        for (service, final), count in tally.count_by_final.items()
-        if final.outcome != "complete"
+        f"{service} {result.outcome} {result.reason}": count
+        for (service, result), count in tally.count_by_result.items()
+        if result.outcome != "complete"
     }
     return Row(
         name,
@@ -226,7 +226,7 @@
     counts_by_second = {}
     for end in tally.ends:
         counts = counts_by_second.setdefault(int((end.at - began) // 1), Counter())
-        counts[f"{end.service} {end.final.outcome} {end.final.reason}".strip()] += 1
+        counts[f"{end.service} {end.result.outcome} {end.result.reason}".strip()] += 1
     for second, counts in sorted(counts_by_second.items()):
         print(f"    {second:>4} s  " + ", ".join(f"{k} {v}" for k, v in counts.items()))
 
--- a/godwitlanding/tests/daemons/test_processes.py
+++ b/godwitlanding/tests/daemons/test_processes.py
@@ -43,7 +43,7 @@
 
     async def finish(self, may_cut=False, drained=()):
         """End the load and return its verdict."""
-        return await self.load.judge(drained, may_cut)
+        return await self.load.evaluate_run(drained, may_cut)
 
     async def get_config_versions(self):
         """Return the configuration version that each daemon uses."""
--- a/godwitlanding/tests/daemons/test_region.py
+++ b/godwitlanding/tests/daemons/test_region.py
@@ -47,7 +47,7 @@
             await cluster.start_vm(vm)
         await wait_until(cluster.is_ready, LIMIT_S, "every daemon to be ready")
         await load.serve(3.0)
-        verdict = await load.judge(may_cut=True)
+        verdict = await load.evaluate_run(may_cut=True)
     finally:
         await cluster.stop()
     assert verdict.faults == ()
--- a/godwitlanding/tests/load/allotment_world.py
+++ b/godwitlanding/tests/load/allotment_model.py
@@ -13,7 +13,7 @@
 
 from godwitlanding.decisions.reachability import Reachability
 from godwitlanding.decisions.routes import Workspace
-from godwitlanding.tests.load.allotment_ways import TOLERANCE, Place
+from godwitlanding.tests.load.allotment_strategies import TOLERANCE, Place
 
 REGIONS = ("a", "b", "c")
 TELL_S = 0.08
--- a/godwitlanding/tests/load/callers.py
+++ b/godwitlanding/tests/load/callers.py
@@ -13,7 +13,7 @@
 import aiohttp
 
 from godwitlanding.base.httpclient import make_session
-from godwitlanding.tests.load.tally import Final
+from godwitlanding.tests.load.tally import RequestResult
 from godwitlanding.tests.standins.bodies import is_intact, make_bundle
 
 MAX_TRIES = 6
@@ -84,7 +84,7 @@
         tally.begin(service)
         issued = await self._ask_steer("POST", f"/v1/tickets/{service}")
         if issued is None:
-            tally.end(service, Final("refused", "NO_TICKET"), began, request_id)
+            tally.end(service, RequestResult("refused", "NO_TICKET"), began, request_id)
             return
         choices = [issued["url"], *await self.look_up(service)]
         reply = Reply(0, lost="refused")
@@ -117,8 +117,8 @@
             if reply.status:
                 break
             self._note_lost(service, url, reply)
-        final = _judge(reply, request_id, check, False)
-        self._tally.end(service, final, began, request_id)
+        result = _judge(reply, request_id, check, False)
+        self._tally.end(service, result, began, request_id)
 
     def _note_lost(self, service, url, reply):
         if reply.lost in ("broken", "cut") and not self._is_killed(url):
@@ -186,12 +186,12 @@
 def _judge(reply, request_id, check, is_transaction):
     if reply.status in (200, 201):
         if check(reply.body, request_id):
-            return Final("complete")
-        return Final("wrong", "the body is not the request's own whole answer")
+            return RequestResult("complete")
+        return RequestResult("wrong", "the body is not the request's own whole answer")
     if _is_final_refusal(reply):
-        return Final("refused", _name_reason(reply))
+        return RequestResult("refused", _name_reason(reply))
     if is_transaction:
-        return Final("unknown", _name_reason(reply))
+        return RequestResult("unknown", _name_reason(reply))
     if reply.status:
-        return Final("refused", _name_reason(reply))
-    return Final("lost", _name_reason(reply))
+        return RequestResult("refused", _name_reason(reply))
+    return RequestResult("lost", _name_reason(reply))
--- a/godwitlanding/tests/load/load.py
+++ b/godwitlanding/tests/load/load.py
@@ -7,7 +7,7 @@
 from godwitlanding.base.config import KIND_BULK, KIND_TRANSACTION
 from godwitlanding.tests.load.callers import Caller, make_caller_session
 from godwitlanding.tests.load.tally import Tally
-from godwitlanding.tests.load.verdict import judge
+from godwitlanding.tests.load.verdict import evaluate_run
 from godwitlanding.tests.tools.cluster import wait_until
 
 CALLERS = 60
@@ -86,10 +86,10 @@
 
         await wait_until(is_reached, SERVE_LIMIT_S, f"{goals} complete")
 
-    async def judge(self, drained=(), may_cut=False):
+    async def evaluate_run(self, drained=(), may_cut=False):
         """End the load; return the verdict on what it has shown."""
         standins = self._cluster.standins
-        return judge(
+        return evaluate_run(
             await self.end(),
             await standins.get_executions(),
             await standins.get_upstream_stats(),
--- a/godwitlanding/tests/load/load_allotments.py
+++ b/godwitlanding/tests/load/load_allotments.py
@@ -5,8 +5,8 @@
 
 import argparse
 
-from godwitlanding.tests.load.allotment_ways import WAY_BY_NAME
-from godwitlanding.tests.load.allotment_world import SCENARIO_BY_NAME, World
+from godwitlanding.tests.load.allotment_model import SCENARIO_BY_NAME, World
+from godwitlanding.tests.load.allotment_strategies import WAY_BY_NAME
 
 
 def parse_arguments():
--- a/godwitlanding/tests/load/load_designs.py
+++ b/godwitlanding/tests/load/load_designs.py
@@ -79,7 +79,7 @@
     choices = 2
 
 
-class LeastLoadedOld(LeastLoaded):
+class LeastLoadedStale(LeastLoaded):
     """The least loaded by reports that are 5 seconds old."""
 
     name = "least loaded, 5 s"
--- a/godwitlanding/tests/load/lost.py
+++ b/godwitlanding/tests/load/missed_requests.py
@@ -1,6 +1,6 @@
 """Tells from the logs of a day where callers' benefit went, by cause.
 
-``python -m godwitlanding.tests.load.lost FILE`` reads what the processes of
+``python -m godwitlanding.tests.load.missed_requests FILE`` reads what the processes of
 a day wrote, each line preceded by a time and the name of a VM or not, and
 prints for each service how many requests were late, refused or failed, and
 for those that were late why.
--- a/godwitlanding/tests/load/tally.py
+++ b/godwitlanding/tests/load/tally.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class Final(NamedTuple):
+class RequestResult(NamedTuple):
     """How a request ended: complete, refused, unknown, lost or wrong."""
 
     outcome: str
@@ -17,7 +17,7 @@
 
     at: float
     service: str
-    final: Final
+    result: RequestResult
 
 
 class Tally:
@@ -25,7 +25,7 @@
 
     def __init__(self):
         self.sent_by_service = Counter()
-        self.count_by_final = Counter()
+        self.count_by_result = Counter()
         self.retries = Counter()
         self.cuts = Counter()
         self.latencies_by_service = {}
@@ -38,14 +38,14 @@
         self.sent_by_service[service] += 1
         self.in_progress += 1
 
-    def end(self, service, final, began, request_id):
+    def end(self, service, result, began, request_id):
         """Note how a request ended."""
         now = asyncio.get_running_loop().time()
         self.in_progress -= 1
-        self.count_by_final[service, final] += 1
-        self.ids_by_outcome.setdefault((service, final.outcome), []).append(request_id)
-        self.ends.append(End(now, service, final))
-        if final.outcome == "complete":
+        self.count_by_result[service, result] += 1
+        self.ids_by_outcome.setdefault((service, result.outcome), []).append(request_id)
+        self.ends.append(End(now, service, result))
+        if result.outcome == "complete":
             self.latencies_by_service.setdefault(service, []).append(now - began)
 
     def note_retry(self, service, reason):
@@ -60,8 +60,8 @@
         """Return how many requests ended so, of one service or of all."""
         return sum(
             number
-            for (name, final), number in self.count_by_final.items()
-            if final.outcome == outcome and service in (None, name)
+            for (name, result), number in self.count_by_result.items()
+            if result.outcome == outcome and service in (None, name)
         )
 
     def count_sent(self):
--- a/godwitlanding/tests/load/test_allotments.py
+++ b/godwitlanding/tests/load/test_allotments.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from godwitlanding.tests.load.allotment_ways import RegionBuckets
-from godwitlanding.tests.load.allotment_world import SCENARIO_BY_NAME, World
+from godwitlanding.tests.load.allotment_model import SCENARIO_BY_NAME, World
+from godwitlanding.tests.load.allotment_strategies import RegionBuckets
 
 # Half of what users tolerate beyond a limit is left for what the model of the
 # VMs does not know.
--- a/godwitlanding/tests/load/verdict.py
+++ b/godwitlanding/tests/load/verdict.py
@@ -29,7 +29,7 @@
         return f"{name}: {state} {numbers}"
 
 
-def judge(
+def evaluate_run(
     tally,
     executions,
     stats_by_upstream,
@@ -57,7 +57,7 @@
     ]
     over_slots = sum(s["over_slots"] for s in stats_by_upstream.values())
     sent = tally.count_sent()
-    ended = sum(tally.count_by_final.values())
+    ended = sum(tally.count_by_result.values())
     faults = [
         (doubled, f"ran twice: {doubled[:5]}"),
         (lied, f"told not run, but run: {lied[:5]}"),
--- a/godwitlanding/tests/tools/chaos.py
+++ b/godwitlanding/tests/tools/chaos.py
@@ -168,7 +168,7 @@
             await asyncio.sleep(RECOVERY_S)
         await load.serve(SERVE_S)
         await _wait_for_one_version(cluster)
-        verdict = await load.judge(may_cut=True)
+        verdict = await load.evaluate_run(may_cut=True)
     finally:
         await cluster.stop()
     return verdict, names
--- a/godwitlanding/tests/tools/demo_daemons.py
+++ b/godwitlanding/tests/tools/demo_daemons.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from godwitlanding.tests.load.load import Load, Rate
-from godwitlanding.tests.load.verdict import judge
+from godwitlanding.tests.load.verdict import evaluate_run
 from godwitlanding.tests.tools.cluster import Cluster
 from godwitlanding.tests.tools.network import claim, make_network
 from godwitlanding.tests.tools.processes import ROOT
@@ -53,7 +53,7 @@
         executions = await cluster.standins.get_executions()
     finally:
         await cluster.stop()
-    verdict = judge(tally, executions, stats, [DRAINED_UPSTREAM])
+    verdict = evaluate_run(tally, executions, stats, [DRAINED_UPSTREAM])
     print_table(tally, stats, counters)
     return verdict
 
@@ -93,9 +93,9 @@
         shares = [f"{tally.get_latency_s(service, p) * 1000:.0f}" for p in (0.5, 0.9)]
         last = f"{tally.get_latency_s(service, 0.99) * 1000:.0f}"
         print(columns.format(service, sent, *counts, *shares, last))
-    for (service, final), count in sorted(tally.count_by_final.items()):
-        if final.outcome != "complete":
-            print(f"  {service}: {count} {final.outcome}: {final.reason}")
+    for (service, result), count in sorted(tally.count_by_result.items()):
+        if result.outcome != "complete":
+            print(f"  {service}: {count} {result.outcome}: {result.reason}")
     for (service, reason), count in sorted(tally.retries.items()):
         print(f"  {service}: callers retried {count} times: {reason}")
     for name, count in sorted(counters.items()):
