--- a/godwitlanding/tests/load/__init__.py
+++ b/godwitlanding/tests/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load for a system or a model of one, and what callers received."""
+"""Load generators, models under load, and checks of callers' results."""
--- a/godwitlanding/tests/load/allotment_strategies.py
+++ b/godwitlanding/tests/load/allotment_strategies.py
@@ -1,8 +1,10 @@
-"""Three ways to keep a workspace's allotment over many VMs, behind one face.
+"""Three strategies to enforce an allotment over many VMs, for comparison.
 
-Each way is what one VM holds. ``take`` answers as ``Allotments.take`` does;
-``tell`` and ``hear`` carry what VMs of a region tell each other, ``digest``
-and ``hear_region`` what regions do. The model plays the same load with each.
+An instance is the state of one VM. ``take`` returns whether a request is
+granted, which ``Allotments.take`` states as a wait. ``get_report`` and
+``receive`` carry the reports among VMs of a region, ``get_region_report`` and
+``receive_region_demand`` those among regions. The model runs the same load
+with each strategy.
 """
 
 from typing import NamedTuple
@@ -11,11 +13,11 @@
 from godwitlanding.decisions.sharing import share_fairly
 
 TOLERANCE = Tolerance()
-_ASKED_OVER_S = 3.0
+_DEMAND_SMOOTHING_S = 3.0
 
 
-class Place(NamedTuple):
-    """Where a VM stands: its region, and the names of all that carry."""
+class VmLocation(NamedTuple):
+    """A VM, its region, and the regions of all VMs that carry requests."""
 
     vm: str
     region: str
@@ -23,48 +25,48 @@
 
 
 class RegionBuckets:
-    """The product's way: one bucket a region, followed by its VMs' counts."""
+    """The production strategy: one bucket per region, from its VMs' counts."""
 
-    def __init__(self, place, workspace, now):
+    def __init__(self, location, workspace, now):
         self._workspace = workspace
-        regions = set(place.region_by_vm.values())
-        self._held = Allotments(place.region, regions, TOLERANCE, now)
-        self._held.set_workspaces([workspace], now)
+        regions = set(location.region_by_vm.values())
+        self._allotments = Allotments(location.region, regions, TOLERANCE, now)
+        self._allotments.set_workspaces([workspace], now)
 
     def set_workspace(self, workspace, now):
         self._workspace = workspace
-        self._held.set_workspaces([workspace], now)
+        self._allotments.set_workspaces([workspace], now)
 
     def take(self, now):
-        return self._held.take(self._workspace, now) == 0.0
+        return self._allotments.take(self._workspace, now) == 0.0
 
-    def tell(self, now):
-        return self._held.get_tallies(), self._held.get_levels(now)
+    def get_report(self, now):
+        return self._allotments.get_tallies(), self._allotments.get_levels(now)
 
-    def receive(self, vm, incarnation, told, now):
-        tallies, levels = told
-        self._held.receive(vm, incarnation, tallies, now, tells_all=True)
-        self._held.adopt_levels(levels, now)
+    def receive(self, vm, incarnation, report, now):
+        tallies, levels = report
+        self._allotments.receive(vm, incarnation, tallies, now, tells_all=True)
+        self._allotments.adopt_levels(levels, now)
 
-    def digest(self):
-        return self._held.get_asked()
+    def get_region_report(self):
+        return self._allotments.get_asked()
 
-    def receive_region_demand(self, region, told, now):
-        self._held.receive_region_demand(region, told, now)
+    def receive_region_demand(self, region, report, now):
+        self._allotments.receive_region_demand(region, report, now)
 
-    def update(self, quorum, now):
-        self._held.update(quorum, now)
+    def update(self, reachable_share, now):
+        self._allotments.update(reachable_share, now)
 
 
 class _LocalBucket:
-    """A bucket of one VM, with a part of the rate and of the burst."""
+    """A token bucket of one VM, with a share of the rate and the burst."""
 
     def __init__(self, now):
         self.level = 0.0
         self.filled_at = now
 
-    def take(self, now, part_per_s, capacity):
-        self.level += part_per_s * (now - self.filled_at)
+    def take(self, now, share_per_s, capacity):
+        self.level += share_per_s * (now - self.filled_at)
         self.level = min(max(1.0, capacity), self.level)
         self.filled_at = now
         if self.level < 1.0:
@@ -73,12 +75,12 @@
         return True
 
 
-class EvenParts:
-    """Each VM that carries has an even part, whatever it is asked for."""
+class EvenShares:
+    """Each VM has an equal share of the rate, independent of its demand."""
 
-    def __init__(self, place, workspace, now):
+    def __init__(self, location, workspace, now):
         self._workspace = workspace
-        self._vms = len(place.region_by_vm)
+        self._vm_count = len(location.region_by_vm)
         self._bucket = _LocalBucket(now)
 
     def set_workspace(self, workspace, now):
@@ -87,73 +89,75 @@
     def take(self, now):
         workspace = self._workspace
         capacity = workspace.burst + TOLERANCE.get_extra_burst(workspace)
-        part_per_s = workspace.rate_per_s / self._vms
-        return self._bucket.take(now, part_per_s, capacity / self._vms)
+        share_per_s = workspace.rate_per_s / self._vm_count
+        return self._bucket.take(now, share_per_s, capacity / self._vm_count)
 
-    def tell(self, now):
+    def get_report(self, now):
         return ()
 
-    def receive(self, vm, incarnation, told, now):
+    def receive(self, vm, incarnation, report, now):
         pass
 
-    def digest(self):
+    def get_region_report(self):
         return ()
 
-    def receive_region_demand(self, region, told, now):
+    def receive_region_demand(self, region, report, now):
         pass
 
-    def update(self, quorum, now):
+    def update(self, reachable_share, now):
         pass
 
 
-class PartsByDemand(EvenParts):
-    """Each VM has a part by what it is asked for, as all tell each other."""
+class DemandShares(EvenShares):
+    """Each VM has a share by its demand, which VMs report to each other."""
 
-    def __init__(self, place, workspace, now):
-        super().__init__(place, workspace, now)
-        self._place = place
-        self._asked = 0
-        self._asked_by_vm = {vm: 0.0 for vm in place.region_by_vm}
+    def __init__(self, location, workspace, now):
+        super().__init__(location, workspace, now)
+        self._location = location
+        self._request_count = 0
+        self._demand_by_vm = {vm: 0.0 for vm in location.region_by_vm}
         self._updated_at = now
 
     def take(self, now):
-        self._asked += 1
+        self._request_count += 1
         workspace = self._workspace
-        parts = share_fairly(workspace.rate_per_s, self._asked_by_vm)
-        part_per_s = parts[self._place.vm]
-        capacity = workspace.burst * part_per_s / workspace.rate_per_s
-        capacity += TOLERANCE.get_extra_burst(workspace) / self._vms
-        return self._bucket.take(now, part_per_s, capacity)
+        shares = share_fairly(workspace.rate_per_s, self._demand_by_vm)
+        share_per_s = shares[self._location.vm]
+        capacity = workspace.burst * share_per_s / workspace.rate_per_s
+        capacity += TOLERANCE.get_extra_burst(workspace) / self._vm_count
+        return self._bucket.take(now, share_per_s, capacity)
 
-    def tell(self, now):
-        return self._asked_by_vm[self._place.vm]
+    def get_report(self, now):
+        return self._demand_by_vm[self._location.vm]
 
-    def receive(self, vm, incarnation, told, now):
-        self._asked_by_vm[vm] = told
+    def receive(self, vm, incarnation, report, now):
+        self._demand_by_vm[vm] = report
 
-    def digest(self):
-        region = self._place.region
+    def get_region_report(self):
+        region = self._location.region
         return {
-            vm: asked
-            for vm, asked in self._asked_by_vm.items()
-            if self._place.region_by_vm[vm] == region
+            vm: demand
+            for vm, demand in self._demand_by_vm.items()
+            if self._location.region_by_vm[vm] == region
         }
 
-    def receive_region_demand(self, region, told, now):
-        self._asked_by_vm.update(told)
+    def receive_region_demand(self, region, report, now):
+        self._demand_by_vm.update(report)
 
-    def update(self, quorum, now):
+    def update(self, reachable_share, now):
         elapsed_s = now - self._updated_at
         self._updated_at = now
-        held = self._asked_by_vm[self._place.vm]
-        seen = self._asked / elapsed_s
-        self._asked = 0
-        weight = min(1.0, elapsed_s / _ASKED_OVER_S)
-        self._asked_by_vm[self._place.vm] = held + weight * (seen - held)
-
-
-WAY_BY_NAME = {
-    "even parts": EvenParts,
-    "parts by demand": PartsByDemand,
+        previous_per_s = self._demand_by_vm[self._location.vm]
+        measured_per_s = self._request_count / elapsed_s
+        self._request_count = 0
+        weight = min(1.0, elapsed_s / _DEMAND_SMOOTHING_S)
+        self._demand_by_vm[self._location.vm] = previous_per_s + weight * (
+            measured_per_s - previous_per_s
+        )
+
+
+STRATEGY_BY_NAME = {
+    "even parts": EvenShares,
+    "parts by demand": DemandShares,
     "region buckets": RegionBuckets,
 }
--- a/godwitlanding/tests/load/gateway_model.py
+++ b/godwitlanding/tests/load/gateway_model.py
@@ -1,10 +1,10 @@
-"""Whole VMs of the gateway, upstreams and callers on one paused clock.
+"""Simulates a fleet of gateway VMs, upstreams and callers in virtual time.
 
-Each VM is a ``Program`` with its real services from admission to courier and
-its bulletins; sockets are replaced by calls after the distance between two
-places. An upstream has slots, a short queue, and remembers the objects that
-it handled last, which it handles several times faster. Nothing here waits in
-real time, so that a minute of a fleet is played in some seconds.
+Each VM is a ``Program`` with its real services from admission to upstream
+client and its gossip messages; sockets are replaced by calls that are delayed
+by the network delay. An upstream has slots, a short queue and a cache of
+recent objects, which it serves several times faster. Nothing waits in real
+time, so that one minute of a fleet is simulated in a few seconds.
 """
 
 import asyncio
@@ -32,35 +32,35 @@
 from godwitlanding.program import Program
 from godwitlanding.tests.load.upstream_model import PoolModel, UpstreamModel
 
-ZONE_S = 0.0014
-REGION_S = 0.055
-CALLER_S = 0.008
+ZONE_DELAY_S = 0.0014
+REGION_DELAY_S = 0.055
+CALLER_DELAY_S = 0.008
 SERVICE = "look"
 PORT = 80
-# Until all VMs have heard of each other.
+# Time until all VMs have discovered each other.
 SETTLE_S = 3.0
 _BOUNDS = Bounds(2.5, 6.0, 0.2, 10.0, 60.0, Tolerance(), False, 5.0, 5.0)
 
 
-class Shape(NamedTuple):
-    """A fleet and its load; times in seconds."""
+class FleetShape(NamedTuple):
+    """The size of a fleet and its load; times in seconds."""
 
     vms_by_zone: dict
     upstreams_by_zone: dict
     region_by_zone: dict
-    # Requests a second of callers, by zone.
+    # Requests per second of the callers in each zone.
     rate_by_zone: dict
-    objects: int = 110
+    object_count: int = 110
     slots: int = 3
     warm_s: float = 0.145
     cold_s: float = 0.48
     target_s: float = 0.4
     deadline_s: float = 2.5
-    remembered: int = 16
+    cache_size: int = 16
 
 
-# Three regions of two zones, one of them with few upstreams.
-CO_OP = Shape(
+# Three regions with two zones each; one region has few upstreams.
+CO_OP = FleetShape(
     vms_by_zone={"a1": 2, "a2": 2, "b1": 2, "b2": 1, "c1": 2, "c2": 1},
     upstreams_by_zone={"a1": 2, "a2": 2, "b1": 4, "b2": 3, "c1": 4, "c2": 3},
     region_by_zone={"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"},
@@ -68,27 +68,29 @@
 )
 
 
-class _Wire:
-    """Carries a VM's datagrams to the others."""
+class _DatagramTransport:
+    """Delivers the datagrams of one VM to the others."""
 
-    def __init__(self, world, host):
-        self._world = world
+    def __init__(self, fleet, host):
+        self._fleet = fleet
         self._host = host
 
     def sendto(self, data, address):
-        self._world.deliver(self._host, address[0], data)
+        self._fleet.deliver(self._host, address[0], data)
 
     def close(self):
         pass
 
 
 class _Vm(NamedTuple):
+    """A gateway VM: its settings and its program."""
+
     settings: VmSettings
     program: Program
 
 
-class _Asked:
-    """What stands for a caller's connection: it keeps the answer."""
+class _CallerConnection:
+    """Replaces a caller's connection and signals when the response is done."""
 
     def __init__(self):
         self.answered = asyncio.get_running_loop().create_future()
@@ -102,11 +104,11 @@
             self.answered.set_result(None)
 
 
-class World:
-    """All VMs, upstreams and callers of a ``Shape``.
+class FleetModel:
+    """All VMs, upstreams and callers of a ``FleetShape``.
 
-    ``outcomes`` counts what became of callers' requests, by ``in_time``,
-    ``late``, ``refused`` and ``failed``, for each second in which they began.
+    ``outcomes`` counts the requests by the second in which they began and by
+    outcome: ``in_time``, ``late``, ``refused`` or ``failed``.
     """
 
     def __init__(self, shape, seed):
@@ -121,10 +123,10 @@
     async def __aenter__(self):
         entries = self._make_upstreams()
         config = self._make_config()
-        asyncio.get_running_loop().create_datagram_endpoint = self._open_wire
+        asyncio.get_running_loop().create_datagram_endpoint = self._open_transport
         for number, (zone, count) in enumerate(self.shape.vms_by_zone.items()):
-            for place in range(count):
-                self._add_vm(zone, f"10.{number}.0.{place + 1}")
+            for index in range(count):
+                self._add_vm(zone, f"10.{number}.0.{index + 1}")
         for vm in self._vm_by_host.values():
             await self._start(vm, config, entries)
         await asyncio.sleep(SETTLE_S)
@@ -137,61 +139,67 @@
             for service in (vm.program.courier, vm.program.chooser, vm.program.peers):
                 await service.stop()
 
-    def get_distance_s(self, zone, upstream):
-        """Return how far an upstream is from a zone, one way."""
+    def get_one_way_delay_s(self, zone, upstream):
+        """Return the one-way network delay from a zone to an upstream."""
         other = self.zone_by_upstream[upstream]
         if zone == other:
             return 0.0002
         region_by_zone = self.shape.region_by_zone
-        return ZONE_S if region_by_zone[zone] == region_by_zone[other] else REGION_S
+        return (
+            ZONE_DELAY_S
+            if region_by_zone[zone] == region_by_zone[other]
+            else REGION_DELAY_S
+        )
 
     def deliver(self, sender, receiver, data):
-        """Let a datagram arrive after its way; both are IP numbers."""
+        """Deliver a datagram between two IP addresses after the delay."""
         if receiver not in self._vm_by_host:
             return
         vm = self._vm_by_host[receiver]
-        same = vm.settings.region == self._vm_by_host[sender].settings.region
-        delay_s = ZONE_S if same else REGION_S
+        is_same_region = vm.settings.region == self._vm_by_host[sender].settings.region
+        delay_s = ZONE_DELAY_S if is_same_region else REGION_DELAY_S
         loop = asyncio.get_running_loop()
-        loop.call_later(delay_s, vm.program.peers.receive, data, sender)
+        loop.call_later(delay_s, vm.program.peers.receive_datagram, data, sender)
 
-    async def play(self, seconds, times=1.0):
-        """Let callers ask for so long; ``times`` the usual rates."""
-        begun = _now()
+    async def run(self, seconds, rate_factor=1.0):
+        """Send requests for ``seconds``; ``rate_factor`` scales the rates."""
+        started_at = _now()
         tasks = []
         for zone, rate in self.shape.rate_by_zone.items():
             tasks.append(
-                self._spawn(self._call_from(zone, rate * times, begun, seconds))
+                self._spawn(
+                    self._generate_calls(zone, rate * rate_factor, started_at, seconds)
+                )
             )
         await asyncio.gather(*tasks)
         await asyncio.sleep(self.shape.deadline_s)
 
-    def count(self, since_s=0.0, until_s=1e9):
-        """Return the shares of outcomes of requests that began then."""
+    def get_outcome_shares(self, since_s=0.0, until_s=1e9):
+        """Return the share of each outcome for requests of an interval."""
         total = Counter()
         for second, outcomes in self.outcomes.items():
             if since_s <= second < until_s:
                 total.update(outcomes)
-        asked = sum(total.values())
-        return {name: count / asked for name, count in sorted(total.items())}
+        request_count = sum(total.values())
+        return {name: count / request_count for name, count in sorted(total.items())}
 
-    async def _call_from(self, zone, rate, begun, seconds):
+    async def _generate_calls(self, zone, rate, started_at, seconds):
         region = self.shape.region_by_zone[zone]
         vms = [vm for vm in self._vm_by_host.values() if vm.settings.region == region]
-        while _now() - begun < seconds:
+        while _now() - started_at < seconds:
             await asyncio.sleep(self._rng.expovariate(rate))
-            self._spawn(self._call(vms, _now() - begun))
+            self._spawn(self._make_call(vms, _now() - started_at))
 
-    async def _call(self, vms, second):
+    async def _make_call(self, vms, second):
         began = _now()
-        key = b"%x" % self._rng.randrange(self.shape.objects)
+        key = b"%x" % self._rng.randrange(self.shape.object_count)
         outcome = "refused"
         for _ in range(2):
-            left_s = self.shape.deadline_s - (_now() - began)
-            await asyncio.sleep(CALLER_S)
+            remaining_s = self.shape.deadline_s - (_now() - began)
+            await asyncio.sleep(CALLER_DELAY_S)
             program = self._rng.choice(vms).program
-            status, retry_after_s = await self._ask(program, key, left_s)
-            await asyncio.sleep(CALLER_S)
+            status, retry_after_s = await self._send_request(program, key, remaining_s)
+            await asyncio.sleep(CALLER_DELAY_S)
             if status == 200:
                 in_time = _now() - began <= self.shape.target_s
                 outcome = "in_time" if in_time else "late"
@@ -202,23 +210,23 @@
             await asyncio.sleep(retry_after_s)
         self.outcomes.setdefault(int(second), Counter())[outcome] += 1
 
-    async def _ask(self, program, key, left_s):
-        asked = _Asked()
-        exchange = asked.exchange
+    async def _send_request(self, program, key, remaining_s):
+        connection = _CallerConnection()
+        exchange = connection.exchange
         exchange.method = b"GET"
         exchange.target = b"/look/" + key
         exchange.headers = [
             (b"host", b"h"),
             (HEADER_NAMES.request_id, b"%x" % self._rng.getrandbits(64)),
             (HEADER_NAMES.affinity_key, key),
-            (HEADER_NAMES.deadline_ms, b"%d" % (left_s * 1000)),
+            (HEADER_NAMES.deadline_ms, b"%d" % (remaining_s * 1000)),
         ]
         program.carrier.take(exchange)
-        await asked.answered
+        await connection.answered
         head = exchange.out[0]
         status = int(head.split(b" ", 2)[1])
-        found = re.search(rb"retry-after: ([\d.]+)", head)
-        return status, float(found.group(1)) if found else 0.0
+        match = re.search(rb"retry-after: ([\d.]+)", head)
+        return status, float(match.group(1)) if match else 0.0
 
     def _spawn(self, coroutine):
         task = asyncio.get_running_loop().create_task(coroutine)
@@ -229,8 +237,8 @@
     def _make_upstreams(self):
         entries = []
         for zone, count in self.shape.upstreams_by_zone.items():
-            for place in range(count):
-                name = f"{zone}-{place}"
+            for index in range(count):
+                name = f"{zone}-{index}"
                 self.upstream_by_id[name] = UpstreamModel(self.shape, self._rng)
                 self.zone_by_upstream[name] = zone
                 address = ("127.0.0.1", 1)
@@ -275,11 +283,14 @@
         program.peers.is_ready = lambda: True
         self._vm_by_host[ip] = _Vm(settings, program)
 
-    async def _open_wire(self, make_protocol, local_addr):
-        return _Wire(self, local_addr[0]), make_protocol()
+    async def _open_transport(self, make_protocol, local_addr):
+        return _DatagramTransport(self, local_addr[0]), make_protocol()
 
     async def _start(self, vm, config, entries):
-        """Start what carries requests, with what the store would tell."""
+        """Start the services that handle requests, with fixed configuration.
+
+        Routes and upstreams are set directly instead of read from the store.
+        """
         program = vm.program
         services = (
             program.registry,
--- a/godwitlanding/tests/load/load.py
+++ b/godwitlanding/tests/load/load.py
@@ -1,4 +1,4 @@
-"""Open-loop load of all three kinds of work on a cluster."""
+"""Open-loop load generator for a cluster, with all three kinds of services."""
 
 import asyncio
 import random
@@ -11,20 +11,20 @@
 from godwitlanding.tests.tools.cluster import wait_until
 
 CALLERS = 60
-FINISH_LIMIT_S = 120.0
-SERVE_LIMIT_S = 90.0
+FINISH_TIMEOUT_S = 120.0
+SERVE_TIMEOUT_S = 90.0
 BUNDLE_CHUNK_MS = 10
 
 
 class Rate(NamedTuple):
-    """How many requests a second a service is sent."""
+    """The request rate for one service."""
 
     service: str
     requests_per_s: float
 
 
 class Load:
-    """Callers who come at their own pace, whatever the answers take."""
+    """Sends requests at fixed mean rates, independent of response times."""
 
     def __init__(self, cluster, seed=0, callers=CALLERS, name="r"):
         self.tally = Tally()
@@ -40,7 +40,7 @@
         self._generators = []
 
     async def start(self, *rates):
-        """Begin to send each service's rate."""
+        """Start to send requests at the given rates."""
         self._rates = rates
         self._session = make_caller_session()
         urls = [self._cluster.get_url(vm, "steer") for vm in self._cluster.vm_by_name]
@@ -58,23 +58,24 @@
             self._generators.append(asyncio.ensure_future(self._generate(rate)))
 
     async def end(self):
-        """Send nothing more and wait for what is in progress."""
+        """Stop sending and wait for requests in progress; return the tally."""
         for generator in self._generators:
             generator.cancel()
         if self._tasks:
-            await asyncio.wait(self._tasks, timeout=FINISH_LIMIT_S)
+            await asyncio.wait(self._tasks, timeout=FINISH_TIMEOUT_S)
         for task in self._tasks:
             task.cancel()
         await self._session.close()
         return self.tally
 
     async def serve(self, seconds, services=()):
-        """Wait until as many requests are complete as come in so long.
+        """Wait until ``seconds`` worth of requests have completed.
 
-        ``services`` narrows the kinds that are waited for.
+        The number is each service's rate times ``seconds``. ``services``
+        restricts the services that are waited for.
         """
         tally = self.tally
-        goals = {
+        target_by_service = {
             rate.service: tally.count("complete", rate.service)
             + rate.requests_per_s * seconds
             for rate in self._rates
@@ -82,43 +83,46 @@
         }
 
         async def is_reached():
-            return all(tally.count("complete", name) >= goals[name] for name in goals)
+            return all(
+                tally.count("complete", name) >= target_by_service[name]
+                for name in target_by_service
+            )
 
-        await wait_until(is_reached, SERVE_LIMIT_S, f"{goals} complete")
+        await wait_until(is_reached, SERVE_TIMEOUT_S, f"{target_by_service} complete")
 
     async def evaluate_run(self, drained=(), may_cut=False):
-        """End the load; return the verdict on what it has shown."""
+        """Stop the load; return the verdict on the run."""
         standins = self._cluster.standins
         return evaluate_run(
             await self.end(),
             await standins.get_executions(),
             await standins.get_upstream_stats(),
             drained,
-            least_complete=0.0,
+            min_complete_share=0.0,
             may_cut=may_cut,
         )
 
     async def _generate(self, rate):
         loop = asyncio.get_running_loop()
-        due = loop.time()
+        next_at = loop.time()
         while True:
-            due += self._random.expovariate(rate.requests_per_s)
-            await asyncio.sleep(max(0.0, due - loop.time()))
+            next_at += self._random.expovariate(rate.requests_per_s)
+            await asyncio.sleep(max(0.0, next_at - loop.time()))
             self.send(rate.service)
 
     def send(self, service, query=""):
-        """Let some caller make one request; return its id."""
+        """Send one request from a random caller; return its id."""
         self._next_id += 1
         request_id = f"{self._name}{self._next_id}"
         caller = self._random.choice(self.callers)
         kind = self._cluster.config.service_by_name[service].kind
         if kind == KIND_TRANSACTION:
-            work = caller.pay(service, request_id, query)
+            coroutine = caller.send_transaction(service, request_id, query)
         elif kind == KIND_BULK:
-            work = caller.download(service, request_id, BUNDLE_CHUNK_MS)
+            coroutine = caller.download(service, request_id, BUNDLE_CHUNK_MS)
         else:
-            work = caller.get(service, request_id, query)
-        task = asyncio.ensure_future(work)
+            coroutine = caller.get(service, request_id, query)
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return request_id
--- a/godwitlanding/tests/load/load_driver.py
+++ b/godwitlanding/tests/load/load_driver.py
@@ -1,8 +1,9 @@
-"""A small discrete-event load driver: callers, one zone, one service.
+"""A discrete-event simulation of callers and upstreams in one zone.
 
-Not a simulator of a cluster: there are arrivals, upstreams with slots, a
-design that decides where each request goes, and what the callers received.
-Time is virtual and random numbers are seeded, so that a run repeats.
+It does not simulate a whole cluster, only arrivals for one service, upstreams
+with slots, a design that assigns requests to upstreams, and the results that
+callers receive. Time is virtual and random numbers are seeded, so that runs
+are reproducible.
 """
 
 from collections import deque
@@ -17,21 +18,22 @@
 FAILED = "failed"
 CRASHED = "crashed"
 
-# Two entry VMs a zone; within the zone a message takes 0.2 ms one way, a
-# fifth of what the users state between their zones.
+# Two entry VMs per zone. A message within the zone takes 0.2 ms one way, a
+# fifth of the delay that users state between their zones.
 VMS = 2
 ZONE_DELAY_S = 0.0002
 COLD_REQUESTS = 60
-COLD_TIMES = 5.0
-CRASH_S = 5.0
+COLD_SLOWDOWN = 5.0
+CRASH_DOWNTIME_S = 5.0
 
 
 class Job:
-    """A try of a request, on its way through the zone."""
+    """One attempt of a request; ``hedge_peer`` is its hedged duplicate."""
 
     __slots__ = (
-        "id caller group arrived deadline work_s fingerprint priority crashes "
-        "tries started answered cancelled vm excluded twin permit_id"
+        "id caller stream arrived deadline work_s fingerprint priority "
+        "crashes_upstream retry_count started answered cancelled vm excluded "
+        "hedge_peer permit_id"
     ).split()
 
     def __init__(self, **values):
@@ -39,53 +41,53 @@
         self.answered = None
         self.cancelled = False
         self.excluded = frozenset()
-        self.twin = None
+        self.hedge_peer = None
         self.permit_id = None
         for name, value in values.items():
             setattr(self, name, value)
 
 
-class Received(NamedTuple):
-    """What a caller received for one try; times in seconds."""
+class AttemptResult(NamedTuple):
+    """The result of one attempt, as its caller sees it; times in seconds."""
 
     group: str
     arrived: float
     took_s: float
     waited_s: float
-    kind: str
+    outcome: str
     work_s: float
-    tries: int
+    retry_count: int
 
 
 class Clock:
-    """Virtual time and what is due when."""
+    """Virtual time and a queue of scheduled calls."""
 
     def __init__(self):
         self.now = 0.0
         self._heap = []
         self._sequence = 0
 
-    def at(self, time, function, *arguments):
-        """Call the function at ``time``, at once if that has passed."""
+    def schedule(self, time, function, *arguments):
+        """Call ``function`` at ``time``, or now if that is in the past."""
         self._sequence += 1
         entry = (max(time, self.now), self._sequence, function, arguments)
         heappush(self._heap, entry)
 
     def run(self, end):
-        """Run everything due before ``end``."""
+        """Run all calls that are due before ``end``."""
         while self._heap and self._heap[0][0] < end:
             self.now, _, function, arguments = heappop(self._heap)
             function(*arguments)
 
 
-class UpstreamModel:
-    """Runs ``slots`` requests at once and lets the others wait at it."""
+class SlotUpstream:
+    """An upstream that runs ``slots`` requests at once and queues others."""
 
     def __init__(self, id, clock, slots=3):
         self.id = id
         self.slots = slots
-        self.times = 1.0
-        self.cold_left = 0
+        self.slowdown = 1.0
+        self.cold_requests_left = 0
         self.down_until = 0.0
         self.most_assigned = 0
         self.crashes = 0
@@ -96,13 +98,13 @@
 
     @property
     def assigned(self):
-        """Return how many requests it has been sent and not finished."""
+        """Return the number of requests that are running or queued."""
         return len(self._running) + self._waiting_count
 
     def send(self, job, done):
-        """Take a request; ``done(job, kind)`` is called when it ends."""
+        """Accept a request; call ``done(job, outcome)`` when it ends."""
         if self._clock.now < self.down_until:
-            self._clock.at(self._clock.now + 0.001, done, job, FAILED)
+            self._clock.schedule(self._clock.now + 0.001, done, job, FAILED)
             return
         self._waiting.append((job, done))
         self._waiting_count += 1
@@ -110,7 +112,7 @@
         self._start_waiting()
 
     def cancel(self, job):
-        """Stop work whose caller has gone."""
+        """Stop or dequeue a request whose caller no longer waits."""
         if self._running.pop(job, None):
             self._start_waiting()
         elif job.started is None and not job.cancelled:
@@ -126,18 +128,20 @@
             self._running[job] = done
             if job.started is None:
                 job.started = self._clock.now
-            work_s = job.work_s * self.times * self._get_cold_times()
-            if job.crashes:
-                self._clock.at(self._clock.now + 0.01, self._crash, job)
+            work_s = job.work_s * self.slowdown * self._get_cold_slowdown()
+            if job.crashes_upstream:
+                self._clock.schedule(self._clock.now + 0.01, self._crash, job)
             else:
-                self._clock.at(self._clock.now + work_s, self._end, job, done)
+                self._clock.schedule(self._clock.now + work_s, self._end, job, done)
 
-    def _get_cold_times(self):
-        if not self.cold_left:
+    def _get_cold_slowdown(self):
+        if not self.cold_requests_left:
             return 1.0
-        self.cold_left -= 1
-        share = (self.cold_left / COLD_REQUESTS) * len(self._running) / self.slots
-        return 1.0 + (COLD_TIMES - 1.0) * share
+        self.cold_requests_left -= 1
+        share = (
+            (self.cold_requests_left / COLD_REQUESTS) * len(self._running) / self.slots
+        )
+        return 1.0 + (COLD_SLOWDOWN - 1.0) * share
 
     def _end(self, job, done):
         if self._running.get(job) is done:
@@ -149,110 +153,116 @@
         if job not in self._running:
             return
         self.crashes += 1
-        self.down_until = self._clock.now + CRASH_S
+        self.down_until = self._clock.now + CRASH_DOWNTIME_S
         waiting = [item for item in self._waiting if not item[0].cancelled]
-        lost = [*self._running.items(), *waiting]
+        dropped = [*self._running.items(), *waiting]
         self._running.clear()
         self._waiting.clear()
         self._waiting_count = 0
-        for other, done in lost:
+        for other, done in dropped:
             done(other, CRASHED)
 
 
 class Stream(NamedTuple):
-    """One kind of callers: ``rate(t)`` in requests a second.
+    """A stream of similar requests; ``rate(t)`` is in requests per second.
 
-    ``retries`` is how often a caller tries again; ``obeys`` whether it
-    waits as long as it was told, else it waits ``pause_s``.
+    ``max_retries`` is the number of retries of each caller. A caller waits
+    for the Retry-After time if ``honors_retry_after`` is set, else for
+    ``retry_delay_s``. ``key_count`` is the number of keys besides the hot
+    one; 0 gives each request its own key.
     """
 
     group: str
     rate: object
     callers: int = 20
     work_s: float = 0.05
-    spread: str = "exponential"
+    distribution: str = "exponential"
     deadline_s: float = 2.0
     priority: int = 1
-    keys: int = 0
+    key_count: int = 0
     hot_key_share: float = 0.0
-    retries: int = 0
-    obeys: bool = True
-    pause_s: float = 0.2
-    crashes: bool = False
+    max_retries: int = 0
+    honors_retry_after: bool = True
+    retry_delay_s: float = 0.2
+    crashes_upstream: bool = False
 
 
 class Run:
-    """One run of a design under a pattern."""
+    """One simulation of a design under streams of requests."""
 
     def __init__(self, make_design, streams, upstreams=4, seed=1, events=()):
         self.clock = Clock()
         self.random = Random(seed)
         self.received = []
         self.upstreams = [
-            UpstreamModel(f"u{index}", self.clock) for index in range(upstreams)
+            SlotUpstream(f"u{index}", self.clock) for index in range(upstreams)
         ]
         self.design = make_design(self)
         self._streams = streams
-        self._jobs = 0
+        self._job_count = 0
         for time, function in events:
-            self.clock.at(time, function, self)
+            self.clock.schedule(time, function, self)
 
     def run(self, seconds):
-        """Drive all streams for ``seconds``, then let what is left end."""
+        """Send all streams for ``seconds``, then let open requests end."""
         for stream in self._streams:
             self._schedule_next(stream, seconds)
         self.clock.run(seconds + 60.0)
         return self.received
 
-    def answer(self, job, kind, retry_after_s=0.0):
-        """Give a caller its answer; the first one counts."""
+    def answer(self, job, outcome, retry_after_s=0.0):
+        """Record an attempt's first result and schedule a retry if due."""
         if job.answered:
             return
-        job.answered = kind
+        job.answered = outcome
         now = self.clock.now
         started = now if job.started is None else job.started
-        stream = job.group
+        stream = job.stream
         self.received.append(
-            Received(
+            AttemptResult(
                 stream.group,
                 job.arrived,
                 now - job.arrived,
                 started - job.arrived,
-                kind,
+                outcome,
                 job.work_s,
-                job.tries,
+                job.retry_count,
             )
         )
-        if kind != OK and job.tries < stream.retries:
+        if outcome != OK and job.retry_count < stream.max_retries:
             self._schedule_retry(job, stream, retry_after_s)
 
     def _schedule_retry(self, job, stream, retry_after_s):
-        pause_s = retry_after_s if stream.obeys and retry_after_s else stream.pause_s
-        again = Job(
+        retry_delay_s = (
+            retry_after_s
+            if stream.honors_retry_after and retry_after_s
+            else stream.retry_delay_s
+        )
+        retry = Job(
             id=job.id + "+",
             caller=job.caller,
-            group=stream,
-            arrived=self.clock.now + pause_s,
-            deadline=self.clock.now + pause_s + stream.deadline_s,
+            stream=stream,
+            arrived=self.clock.now + retry_delay_s,
+            deadline=self.clock.now + retry_delay_s + stream.deadline_s,
             work_s=job.work_s,
             fingerprint=job.fingerprint,
             priority=job.priority,
-            crashes=job.crashes,
-            tries=job.tries + 1,
+            crashes_upstream=job.crashes_upstream,
+            retry_count=job.retry_count + 1,
             vm=self.random.randrange(VMS),
         )
-        self.clock.at(again.arrived, self._submit, again)
+        self.clock.schedule(retry.arrived, self._submit, retry)
 
     def _schedule_next(self, stream, end):
         rate = stream.rate(self.clock.now)
         if rate <= 0:
             next_time = self.clock.now + 0.1
             if next_time < end:
-                self.clock.at(next_time, self._schedule_next, stream, end)
+                self.clock.schedule(next_time, self._schedule_next, stream, end)
             return
         time = self.clock.now + self.random.expovariate(rate)
         if time < end:
-            self.clock.at(time, self._arrive, stream, end)
+            self.clock.schedule(time, self._arrive, stream, end)
 
     def _arrive(self, stream, end):
         self._submit(self._make_job(stream))
@@ -260,19 +270,19 @@
 
     def _make_job(self, stream):
         now = self.clock.now
-        self._jobs += 1
+        self._job_count += 1
         fingerprint = self._pick_key(stream)
         return Job(
-            id=f"j{self._jobs}",
+            id=f"j{self._job_count}",
             caller=f"{stream.group}{self.random.randrange(stream.callers)}",
-            group=stream,
+            stream=stream,
             arrived=now,
             deadline=now + stream.deadline_s,
             work_s=self._draw_work(stream),
             fingerprint=fingerprint,
             priority=stream.priority,
-            crashes=stream.crashes,
-            tries=0,
+            crashes_upstream=stream.crashes_upstream,
+            retry_count=0,
             vm=self.random.randrange(VMS),
         )
 
@@ -280,17 +290,17 @@
         base = crc32(stream.group.encode()) * 1_000_000
         if self.random.random() < stream.hot_key_share:
             return base + 1
-        if stream.keys:
-            return base + 2 + self.random.randrange(stream.keys)
-        return base + 1000 + self._jobs
+        if stream.key_count:
+            return base + 2 + self.random.randrange(stream.key_count)
+        return base + 1000 + self._job_count
 
     def _draw_work(self, stream):
-        if stream.spread == "exponential":
+        if stream.distribution == "exponential":
             return self.random.expovariate(1 / stream.work_s)
         return stream.work_s * self.random.uniform(0.8, 1.2)
 
     def _submit(self, job):
-        self.clock.at(job.deadline, self._expire, job)
+        self.clock.schedule(job.deadline, self._expire, job)
         self.design.submit(job)
 
     def _expire(self, job):
--- a/godwitlanding/tests/load/load_plot.py
+++ b/godwitlanding/tests/load/load_plot.py
@@ -1,4 +1,4 @@
-"""Plots of a load pattern: what callers received, second by second."""
+"""Plots the results of a load pattern by second of arrival."""
 
 import matplotlib
 
@@ -14,13 +14,13 @@
 
 
 def plot_pattern(workload, pattern, run_by_design, path):
-    """Write good answers and p99 by second of arrival, a line a design."""
+    """Plot successful attempts and their p99 per second, a line per design."""
     figure, (upper, lower) = pyplot.subplots(2, 1, figsize=(9, 7), sharex=True)
     for name, run in run_by_design.items():
         by_second = split_by_second(run.received)
         seconds = range(int(pattern.seconds))
         good = [
-            [r.took_s for r in by_second.get(second, ()) if r.kind == OK]
+            [r.took_s for r in by_second.get(second, ()) if r.outcome == OK]
             for second in seconds
         ]
         width = 2.5 if name == "pooled" else 1.0
--- a/godwitlanding/tests/load/load_report.py
+++ b/godwitlanding/tests/load/load_report.py
@@ -1,26 +1,26 @@
-"""What the callers of a run received, in a few figures."""
+"""Summarises the results of a simulated run."""
 
 from math import inf
 from typing import NamedTuple
 
 from godwitlanding.tests.load.load_driver import FAILED, LATE, OK, REFUSED
 
-# A second counts as normal while its p95 is within the p99 of the bare work
-# times, and 99 % of its tries are answered well.
+# A second counts as normal if its p95 latency is at most the p99 of the work
+# times alone, and 99 % of its attempts succeed. The p99 of an exponential
+# distribution is 4.6 times its mean.
 P99_OF_EXPONENTIAL = 4.6
-CALM_SECONDS = 5
+NORMAL_SECONDS = 5
 NORMAL_SHARE = 0.99
 
 
 class Summary(NamedTuple):
-    """Figures of one run; latencies of good answers, in seconds.
-
-    ``goodput`` is the work of the good answers given between begin and end
-    as a share of what the slots can serve, or of what was offered if that
-    is less. ``on_time`` is the
-    share of what was accepted that ended before its deadline.
-    ``told_p50_s`` and ``told_p99_s`` are how long a refused caller waited
-    to be told so.
+    """Figures of one run; latencies are of successful attempts, in seconds.
+
+    ``goodput`` is the work of attempts that succeeded between begin and end,
+    as a share of the work that the slots can do, or of the offered work if
+    that is less. ``on_time`` is the share of accepted attempts that succeeded
+    before their deadline. ``told_p50_s`` and ``told_p99_s`` are the times
+    until a refused caller received the refusal.
     """
 
     offered: int
@@ -43,7 +43,7 @@
 
 
 def find_quantile(values, share):
-    """Return the value that ``share`` of the values do not exceed."""
+    """Return the ``share`` quantile of the values, or 0 if there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -51,26 +51,29 @@
 
 
 def summarise(run, pattern):
-    """Return the figures of a finished run of a pattern."""
-    inside = [r for r in run.received if pattern.begin <= r.arrived < pattern.end]
-    good = [r for r in inside if r.kind == OK]
-    others = [r for r in inside if r.group == pattern.others] or inside
-    others_good = [r for r in others if r.kind == OK]
+    """Return the ``Summary`` of a finished run of a pattern."""
+    measured = [r for r in run.received if pattern.begin <= r.arrived < pattern.end]
+    good = [r for r in measured if r.outcome == OK]
+    others = [r for r in measured if r.group == pattern.others] or measured
+    others_good = [r for r in others if r.outcome == OK]
     seconds = pattern.end - pattern.begin
     slots = sum(upstream.slots for upstream in run.upstreams)
-    offered_s = sum(r.work_s for r in inside if r.tries == 0)
+    offered_s = sum(r.work_s for r in measured if r.retry_count == 0)
     possible_s = min(offered_s, slots * seconds)
     served_s = sum(
         r.work_s
         for r in run.received
-        if r.kind == OK and pattern.begin <= r.arrived + r.took_s < pattern.end
+        if r.outcome == OK and pattern.begin <= r.arrived + r.took_s < pattern.end
     )
-    told = [r.took_s for r in inside if r.kind == REFUSED]
-    count = {kind: sum(r.kind == kind for r in inside) for kind in (REFUSED, LATE)}
-    failed = sum(r.kind == FAILED for r in inside)
+    refusal_times_s = [r.took_s for r in measured if r.outcome == REFUSED]
+    count = {
+        outcome: sum(r.outcome == outcome for r in measured)
+        for outcome in (REFUSED, LATE)
+    }
+    failed = sum(r.outcome == FAILED for r in measured)
     accepted = len(good) + count[LATE] + failed
     return Summary(
-        offered=len(inside),
+        offered=len(measured),
         good=len(good),
         refused=count[REFUSED],
         late=count[LATE],
@@ -83,32 +86,35 @@
         others_p99_s=find_quantile([r.took_s for r in others_good], 0.99),
         others_good=len(others_good) / max(1, len(others)),
         most_assigned=max(upstream.most_assigned for upstream in run.upstreams),
-        recovery_s=find_recovery(run.received, pattern),
-        told_p50_s=find_quantile(told, 0.5),
-        told_p99_s=find_quantile(told, 0.99),
+        recovery_s=measure_recovery_s(run.received, pattern),
+        told_p50_s=find_quantile(refusal_times_s, 0.5),
+        told_p99_s=find_quantile(refusal_times_s, 0.99),
         crashes=sum(upstream.crashes for upstream in run.upstreams),
     )
 
 
-def find_recovery(received, pattern):
-    """Return the seconds after ``calm`` until five normal seconds begin."""
-    if not pattern.calm:
+def measure_recovery_s(received, pattern):
+    """Return the seconds from ``recovery_from`` to five normal seconds.
+
+    The five follow each other; the result is infinite if there are none.
+    """
+    if not pattern.recovery_from:
         return 0.0
     by_second = split_by_second(received)
     normal_s = P99_OF_EXPONENTIAL * pattern.streams[0].work_s
     normal_in_a_row = 0
-    for second in range(int(pattern.calm), int(pattern.seconds)):
+    for second in range(int(pattern.recovery_from), int(pattern.seconds)):
         if _is_normal(by_second.get(second, []), normal_s):
             normal_in_a_row += 1
         else:
             normal_in_a_row = 0
-        if normal_in_a_row == CALM_SECONDS:
-            return second + 1 - CALM_SECONDS - pattern.calm
+        if normal_in_a_row == NORMAL_SECONDS:
+            return second + 1 - NORMAL_SECONDS - pattern.recovery_from
     return inf
 
 
 def split_by_second(received):
-    """Return what was received by the whole second of its arrival."""
+    """Return the results grouped by the second of the attempt's arrival."""
     by_second = {}
     for item in received:
         by_second.setdefault(int(item.arrived), []).append(item)
@@ -116,7 +122,7 @@
 
 
 def _is_normal(received, normal_s):
-    good = [r.took_s for r in received if r.kind == OK]
+    good = [r.took_s for r in received if r.outcome == OK]
     if len(good) < NORMAL_SHARE * len(received):
         return False
     return find_quantile(good, 0.95) <= normal_s
--- a/godwitlanding/tests/load/lookups.py
+++ b/godwitlanding/tests/load/lookups.py
@@ -1,7 +1,7 @@
-"""Sends look-ups over kept connections and counts the answers.
+"""Measures steer look-ups over persistent connections.
 
-A small program of its own, so that the process under test has a core for
-itself: ``python -m godwitlanding.tests.load.lookups --help``.
+It runs as a separate process, so that the process under test has a CPU core
+of its own: ``python -m godwitlanding.tests.load.lookups --help``.
 """
 
 import argparse
@@ -13,7 +13,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One kept connection with one request at a time."""
+    """A persistent connection that sends one request at a time."""
 
     def __init__(self, requests, latencies):
         self.answered = 0
@@ -29,8 +29,8 @@
 
     def data_received(self, data):
         self._data += data
-        head, gap, body = self._data.partition(b"\r\n\r\n")
-        if not gap or len(body) < _read_length(head):
+        head, separator, body = self._data.partition(b"\r\n\r\n")
+        if not separator or len(body) < _parse_content_length(head):
             return
         self._data = b""
         self._latencies.append(time.perf_counter() - self._sent_at)
@@ -43,18 +43,18 @@
         self._transport.write(next(self._requests))
 
 
-def _read_length(head):
+def _parse_content_length(head):
     _, _, rest = head.lower().partition(b"content-length:")
     return int(rest.split(b"\r\n")[0])
 
 
 def make_requests(services, seed):
-    """Yield look-ups of callers drawn from all addresses."""
-    drawn = random.Random(seed)
+    """Yield look-ups from callers with random IPv4 addresses."""
+    rng = random.Random(seed)
     prepared = []
     for _ in range(20_000):
-        address = ".".join(map(str, drawn.randrange(1 << 24, 1 << 32).to_bytes(4)))
-        service = drawn.choice(services)
+        address = ".".join(map(str, rng.randrange(1 << 24, 1 << 32).to_bytes(4)))
+        service = rng.choice(services)
         prepared.append(
             f"GET /v1/steer/{service} HTTP/1.1\r\nHost: steer\r\n"
             f"X-Caller: {address}\r\n\r\n".encode()
@@ -63,8 +63,8 @@
         yield from prepared
 
 
-async def send(arguments):
-    """Send for the time asked; return what was counted."""
+async def measure(arguments):
+    """Send look-ups for the given time; return counts and latencies."""
     loop = asyncio.get_running_loop()
     latencies = []
     requests = make_requests(arguments.services.split(","), arguments.seed)
@@ -75,12 +75,12 @@
         )
         connections.append(connection)
     await asyncio.sleep(arguments.warm_s)
-    before = sum(c.answered for c in connections)
+    answered_before = sum(c.answered for c in connections)
     latencies.clear()
     started = time.perf_counter()
     await asyncio.sleep(arguments.seconds)
     took_s = time.perf_counter() - started
-    answered = sum(c.answered for c in connections) - before
+    answered = sum(c.answered for c in connections) - answered_before
     ordered = sorted(latencies)
     return {
         "answered": answered,
@@ -93,11 +93,13 @@
 
 
 def parse_arguments(argv=None):
-    """Return the arguments."""
+    """Return the command-line arguments."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--host", required=True)
     parser.add_argument("--port", type=int, required=True)
-    parser.add_argument("--services", required=True, help="Names, by comma")
+    parser.add_argument(
+        "--services", required=True, help="Comma-separated service names"
+    )
     parser.add_argument("--connections", type=int, default=16)
     parser.add_argument("--warm-s", type=float, default=2.0)
     parser.add_argument("--seconds", type=float, default=5.0)
@@ -106,8 +108,8 @@
 
 
 def main(argv=None):
-    """Print what was counted as a line of JSON."""
-    print(json.dumps(asyncio.run(send(parse_arguments(argv)))))
+    """Print the counts and latencies as a line of JSON."""
+    print(json.dumps(asyncio.run(measure(parse_arguments(argv)))))
 
 
 if __name__ == "__main__":
--- a/godwitlanding/tests/load/tally.py
+++ b/godwitlanding/tests/load/tally.py
@@ -1,4 +1,4 @@
-"""What callers received, counted by them."""
+"""Counts the results of requests, as callers see them."""
 
 import asyncio
 from collections import Counter
@@ -6,14 +6,14 @@
 
 
 class RequestResult(NamedTuple):
-    """How a request ended: complete, refused, unknown, lost or wrong."""
+    """A request's outcome: complete, refused, unknown, lost or wrong."""
 
     outcome: str
     reason: str = ""
 
 
-class End(NamedTuple):
-    """When a request ended, on the loop's clock, and how."""
+class RequestEnd(NamedTuple):
+    """The result of a request and the loop time ``at`` which it ended."""
 
     at: float
     service: str
@@ -21,7 +21,7 @@
 
 
 class Tally:
-    """Counts by service, with latencies and the ids behind each outcome."""
+    """Counts, latencies and request ids by service and outcome."""
 
     def __init__(self):
         self.sent_by_service = Counter()
@@ -34,30 +34,30 @@
         self.in_progress = 0
 
     def begin(self, service):
-        """Note that a request was begun."""
+        """Count a started request."""
         self.sent_by_service[service] += 1
         self.in_progress += 1
 
     def end(self, service, result, began, request_id):
-        """Note how a request ended."""
+        """Record the result of a request that ``begin`` counted."""
         now = asyncio.get_running_loop().time()
         self.in_progress -= 1
         self.count_by_result[service, result] += 1
         self.ids_by_outcome.setdefault((service, result.outcome), []).append(request_id)
-        self.ends.append(End(now, service, result))
+        self.ends.append(RequestEnd(now, service, result))
         if result.outcome == "complete":
             self.latencies_by_service.setdefault(service, []).append(now - began)
 
-    def note_retry(self, service, reason):
-        """Note that a caller sent a request again."""
+    def count_retry(self, service, reason):
+        """Count a retry of a request by its caller."""
         self.retries[service, reason] += 1
 
-    def note_cut(self, service, url, how):
-        """Note an answer that broke off at a VM which nobody killed."""
-        self.cuts[service, url, how] += 1
+    def count_cut(self, service, url, reason):
+        """Count a response that broke off at a VM that was not killed."""
+        self.cuts[service, url, reason] += 1
 
     def count(self, outcome, service=None):
-        """Return how many requests ended so, of one service or of all."""
+        """Return the number of requests with an outcome, by default of all."""
         return sum(
             number
             for (name, result), number in self.count_by_result.items()
@@ -65,12 +65,12 @@
         )
 
     def count_sent(self):
-        """Return how many requests were begun."""
+        """Return the number of started requests."""
         return sum(self.sent_by_service.values())
 
-    def get_latency_s(self, service, share):
-        """Return a percentile of the complete requests' latencies."""
+    def get_latency_s(self, service, quantile):
+        """Return a quantile (0 to 1) of the latencies of complete requests."""
         latencies = sorted(self.latencies_by_service.get(service, ()))
         if not latencies:
             return 0.0
-        return latencies[min(len(latencies) - 1, int(len(latencies) * share))]
+        return latencies[min(len(latencies) - 1, int(len(latencies) * quantile))]
--- a/godwitlanding/tests/load/test_missed_requests.py
+++ b/godwitlanding/tests/load/test_missed_requests.py
@@ -1,8 +1,8 @@
-"""What the tool for lost benefit counts."""
+"""Tests the counts of late and refused requests."""
 
 import json
 
-from godwitlanding.tests.load import lost
+from godwitlanding.tests.load import missed_requests
 
 ATTEMPT = {
     "message_type": "carrier:attempt",
@@ -27,20 +27,20 @@
         {**ATTEMPT, "timestamp": 5.0, "outcome": "failed"},
         REJECTION,
     ]
-    path = tmp_path / "day.log"
+    path = tmp_path / "run.log"
     text = "".join(f"1.5 vm-1 {json.dumps(line)}\n" for line in lines)
-    path.write_text("the day begins\n" + text)
-    assert lost.main([str(path), "--late", "s=0.5"]) == 0
+    path.write_text("the run begins\n" + text)
+    assert missed_requests.main([str(path), "--late", "s=0.5"]) == 0
     printed = dict(
         line.rsplit(None, 1) for line in capsys.readouterr().out.split("\n")[1:-1]
     )
     counts = {name.strip(): int(number) for name, number in printed.items()}
     assert counts == {
         "answered": 4,
-        "met": 1,
+        "cold requests": 1,
         "objects": 1,
         "late": 3,
-        "late: first meeting": 1,
+        "late: cold request": 1,
         "late: expected wait": 1,
         "late: not expected": 1,
         "rejected: full": 1,
--- a/godwitlanding/tests/load/upstream_model.py
+++ b/godwitlanding/tests/load/upstream_model.py
@@ -1,4 +1,4 @@
-"""Upstreams and the connections to them, played without sockets."""
+"""Models of upstreams and of the connections to them, without sockets."""
 
 import asyncio
 import re
@@ -11,12 +11,12 @@
 
 
 class UpstreamModel:
-    """Slots, a queue, a memory of objects; and what it says of itself."""
+    """An upstream with slots, a queue, an object cache and load reports."""
 
     def __init__(self, shape, rng):
         self._shape = shape
         self._rng = rng
-        self._known = OrderedDict()
+        self._cached_keys = OrderedDict()
         self._running = 0
         self._waiting = deque()
         self.limit_per_s = None
@@ -24,15 +24,15 @@
         self.arrived_at = []
 
     async def handle(self, data):
-        """Return the ``Answer`` to a request."""
+        """Return the ``Response`` to a request."""
         self.arrived_at.append(_now())
         if self._running + len(self._waiting) >= 4 * self._shape.slots:
             extra = [(HEADER_NAMES.not_executed, b"1")]
-            return self._make_answer(503, extra)
+            return self._make_response(503, extra)
         if self._running >= self._shape.slots:
-            turn = asyncio.get_running_loop().create_future()
-            self._waiting.append(turn)
-            await turn
+            slot_granted = asyncio.get_running_loop().create_future()
+            self._waiting.append(slot_granted)
+            await slot_granted
         else:
             self._running += 1
         try:
@@ -42,22 +42,22 @@
                 self._waiting.popleft().set_result(None)
             else:
                 self._running -= 1
-        return self._make_answer(200, [(HEADER_NAMES.signature, b"proof")])
+        return self._make_response(200, [(HEADER_NAMES.signature, b"proof")])
 
     def _draw_work_s(self, data):
-        found = _KEY.search(data)
-        key = found.group(1) if found else b""
+        match = _KEY.search(data)
+        key = match.group(1) if match else b""
         work_s = self._shape.cold_s
-        if key in self._known:
+        if key in self._cached_keys:
             work_s = self._shape.warm_s
         if key:
-            self._known[key] = None
-            self._known.move_to_end(key)
-            if len(self._known) > self._shape.remembered:
-                self._known.popitem(last=False)
+            self._cached_keys[key] = None
+            self._cached_keys.move_to_end(key)
+            if len(self._cached_keys) > self._shape.cache_size:
+                self._cached_keys.popitem(last=False)
         return work_s * self._rng.lognormvariate(0.0, 0.15)
 
-    def _make_answer(self, status, headers):
+    def _make_response(self, status, headers):
         report = b"%d,%d,%d" % (self._running, len(self._waiting), self._shape.slots)
         headers = [*headers, (b"godwitlanding-load-report", report)]
         if self.limit_per_s is not None:
@@ -68,10 +68,10 @@
 
 
 class PoolModel:
-    """Connections of one VM; each request takes the way there and back."""
+    """Replaces the connection pool of one VM and delays each message."""
 
-    def __init__(self, world, zone):
-        self._world = world
+    def __init__(self, fleet, zone):
+        self._fleet = fleet
         self._zone = zone
         self._idle = Counter()
 
@@ -79,15 +79,15 @@
         if not self._idle[upstream]:
             return None
         self._idle[upstream] -= 1
-        return ConnectionModel(self._world, self._zone, upstream)
+        return ConnectionModel(self._fleet, self._zone, upstream)
 
     async def connect(self, upstream, address, timeout_s):
-        distance_s = self._world.get_distance_s(self._zone, upstream)
-        if 2 * distance_s > timeout_s:
+        one_way_delay_s = self._fleet.get_one_way_delay_s(self._zone, upstream)
+        if 2 * one_way_delay_s > timeout_s:
             await asyncio.sleep(timeout_s)
             raise UpstreamError(Failure.CONNECT)
-        await asyncio.sleep(2 * distance_s)
-        return ConnectionModel(self._world, self._zone, upstream)
+        await asyncio.sleep(2 * one_way_delay_s)
+        return ConnectionModel(self._fleet, self._zone, upstream)
 
     def give_back(self, upstream, connection):
         self._idle[upstream] += 1
@@ -103,15 +103,17 @@
 
 
 class ConnectionModel:
-    def __init__(self, world, zone, upstream):
-        self._model = world.upstream_by_id[upstream]
-        self._distance_s = world.get_distance_s(zone, upstream)
+    """A connection from a zone to one upstream, with its network delay."""
+
+    def __init__(self, fleet, zone, upstream):
+        self._model = fleet.upstream_by_id[upstream]
+        self._one_way_delay_s = fleet.get_one_way_delay_s(zone, upstream)
 
     async def send(self, data, request_id, without_body, sink):
-        await asyncio.sleep(self._distance_s)
-        answer = await self._model.handle(data)
-        await asyncio.sleep(self._distance_s)
-        return answer
+        await asyncio.sleep(self._one_way_delay_s)
+        response = await self._model.handle(data)
+        await asyncio.sleep(self._one_way_delay_s)
+        return response
 
     def abort(self):
         pass
