--- a/godwitlanding/tests/benchmarks/__init__.py
+++ b/godwitlanding/tests/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks, and what they share."""
+"""Benchmarks and the helper modules that they share."""
--- a/godwitlanding/tests/benchmarks/bench_apply.py
+++ b/godwitlanding/tests/benchmarks/bench_apply.py
@@ -1,7 +1,7 @@
-"""How soon an accepted configuration is in force in every process.
+"""Measures how fast a configuration change reaches every process.
 
-Applies changes to a small system under load and measures from the
-platform's answer to the write until the last daemon shows the version.
+Applies changes to a small system under load and measures the time from the
+platform's response to the write until the last daemon reports the version.
 
     python -m godwitlanding.tests.benchmarks.bench_apply --changes 20
 """
@@ -15,27 +15,27 @@
 from godwitlanding.tests.tools.cluster import ROLES, Cluster
 from godwitlanding.tests.tools.network import claim_test_network
 
-TEXT = (Path(__file__).parents[1] / "data/small.json5").read_text()
+CONFIG_TEXT = (Path(__file__).parents[1] / "data/small.json5").read_text()
 POLL_S = 0.01
 PAUSE_S = 0.5
 RATES = (Rate("status", 60.0), Rate("renewal", 12.0), Rate("passes", 6.0))
 
 
-async def is_in_force(cluster, key, version):
-    """Tell whether a daemon has this version of the text, or a later one."""
+async def has_version(cluster, key, version):
+    """Return whether a daemon has this version or a later one."""
     status = await cluster.get_status(*key)
     return status is not None and status["versions"].get("config/main", 0) >= version
 
 
-async def wait_for(cluster, key, version):
-    """Return when a daemon has the version."""
-    while not await is_in_force(cluster, key, version):
+async def wait_for_version(cluster, key, version):
+    """Wait until a daemon has the version."""
+    while not await has_version(cluster, key, version):
         await asyncio.sleep(POLL_S)
 
 
 async def measure(changes):
-    """Return the seconds until the last process, for each change, sorted."""
-    cluster = Cluster(TEXT, claim_test_network())
+    """Return the sorted propagation times of the changes, in seconds."""
+    cluster = Cluster(CONFIG_TEXT, claim_test_network())
     loop = asyncio.get_running_loop()
     took_s = []
     try:
@@ -44,7 +44,7 @@
         load = Load(cluster)
         await load.start(*RATES)
         store = HttpStore(cluster.standins.platform_url, 2.0)
-        keys = [(vm, role) for vm in cluster.vm_by_name for role in ROLES]
+        daemon_keys = [(vm, role) for vm in cluster.vm_by_name for role in ROLES]
         version = (await store.get("config", "main")).unwrap().version
         for number in range(changes):
             work_s = f"work_s: 0.04{number:03}"
@@ -52,7 +52,9 @@
             put = await store.put("config", "main", text.encode(), version)
             version = put.unwrap()
             began = loop.time()
-            await asyncio.gather(*(wait_for(cluster, key, version) for key in keys))
+            await asyncio.gather(
+                *(wait_for_version(cluster, key, version) for key in daemon_keys)
+            )
             took_s.append(loop.time() - began)
             await asyncio.sleep(PAUSE_S)
         await store.close()
@@ -63,14 +65,16 @@
 
 
 def parse_arguments(argv=None):
-    """Return the arguments."""
+    """Return the parsed command line."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    parser.add_argument("--changes", type=int, default=20, help="How many to apply")
+    parser.add_argument(
+        "--changes", type=int, default=20, help="Number of changes to apply"
+    )
     return parser.parse_args(argv)
 
 
 def main(argv=None):
-    """Measure and print."""
+    """Run the benchmark and print the median and longest time."""
     took_s = asyncio.run(measure(parse_arguments(argv).changes))
     median = took_s[len(took_s) // 2]
     print(f"in force in 12 processes, {len(took_s)} changes, polled each 10 ms:")
--- a/godwitlanding/tests/benchmarks/bench_blocks.py
+++ b/godwitlanding/tests/benchmarks/bench_blocks.py
@@ -1,13 +1,13 @@
-"""Measures caller blocks: memory, look-up, change, and ways of loading.
+"""Measures caller blocks: memory, lookup, changes and loading methods.
 
     python -m godwitlanding.tests.benchmarks.bench_blocks
 
-Slopes over the number of blocks, the cost of a change as a delta and as
-rewritten pieces, and four ways in which a fresh process can load the
-table, each in a process of its own so that its peak memory is its own:
-one list, the paper's streamed initial state (the objects in one answer, a
-line each, the closing marker last; KEP-3157), one read for each piece, and
-the push of our own zone daemon.
+Prints the costs by number of blocks, the cost of a change as a delta and as
+rewritten pieces, and four methods by which a new process can load the
+table: one list request; a streamed initial state as in KEP-3157 (all objects
+in one response, one per line, the closing marker last); one read per piece;
+and the push of the zone daemon. Each method runs in its own process, so that
+its peak memory can be measured separately.
 """
 
 import argparse
@@ -37,27 +37,31 @@
 from godwitlanding.tests.benchmarks.measure import (
     format_table,
     plot,
-    read_cost,
+    read_process_usage,
+)
+from godwitlanding.tests.benchmarks.sizes import (
+    TARGET_SIZE,
+    make_block_objects,
+    make_piece,
 )
-from godwitlanding.tests.benchmarks.sizes import LETTER, make_block_objects, make_piece
 from godwitlanding.tests.standins.peers import StandinZoneDaemon
 
 ADDRESS = "127.0.50.1"
 HTTP_PORT = 17201
 ZONE_PORT = 17202
-SIZES = (100_000, 400_000, 1_600_000, 3_200_000)
-CHANGES = (1, 100, 10_000)
-LOOK_UPS = 200_000
-WAYS = ("list", "streamed", "piece by piece", "zone's push")
+BLOCK_COUNTS = (100_000, 400_000, 1_600_000, 3_200_000)
+CHANGE_COUNTS = (1, 100, 10_000)
+LOOKUPS = 200_000
+LOAD_METHODS = ("list", "streamed", "piece by piece", "zone's push")
 
 
 def measure_sizes():
-    """Return rows of memory, transfer and look-up by number of blocks."""
+    """Return rows of memory, transfer and lookup cost by number of blocks."""
     rows = []
-    for blocks in SIZES:
-        pieces = split_piece(make_piece(LETTER._replace(blocks=blocks)))
+    for blocks in BLOCK_COUNTS:
+        pieces = split_piece(make_piece(TARGET_SIZE._replace(blocks=blocks)))
         table = BlockTable(pieces)
-        held = sum(len(p.starts) * 4 + len(p.groups) * 2 for p in pieces)
+        held_bytes = sum(len(p.starts) * 4 + len(p.groups) * 2 for p in pieces)
         began = time.perf_counter()
         bodies = [format_piece(piece, 1) for piece in pieces]
         pack_s = time.perf_counter() - began
@@ -70,7 +74,7 @@
             [
                 blocks,
                 len(pieces),
-                held / 1e6,
+                held_bytes / 1e6,
                 sum(map(len, bodies)) / 1e6,
                 max(map(len, bodies)) / 1e3,
                 pack_s,
@@ -83,33 +87,33 @@
 
 
 def _measure_find(table):
-    drawn = random.Random(2)
+    rng = random.Random(2)
     last = table.pieces[-1].starts[-1]
-    addresses = [drawn.randrange(1 << 24, last) for _ in range(LOOK_UPS)]
+    addresses = [rng.randrange(1 << 24, last) for _ in range(LOOKUPS)]
     began = time.perf_counter()
     for address in addresses:
         table.find(address)
-    return (time.perf_counter() - began) / LOOK_UPS
+    return (time.perf_counter() - began) / LOOKUPS
 
 
 def measure_changes():
     """Return rows of the cost of changing some of 3.2 million blocks."""
-    table = BlockTable(split_piece(make_piece(LETTER)))
-    drawn = random.Random(3)
+    table = BlockTable(split_piece(make_piece(TARGET_SIZE)))
+    rng = random.Random(3)
     rows = []
-    for count in CHANGES:
+    for count in CHANGE_COUNTS:
         for kind in ("whole blocks", "parts of blocks"):
-            changes = _draw_changes(table, count, kind, drawn)
+            changes = _draw_changes(table, count, kind, rng)
             body = format_delta(1, changes)
             frame = encode(Envelope(0, False, State("blocks", "delta-1", 1, body)))
-            touched = _count_touched(table, changes)
+            changed_pieces = _count_changed_pieces(table, changes)
             began = time.perf_counter()
             for change in parse_delta(body)[1]:
                 table.apply(change)
             took_s = time.perf_counter() - began
-            rewritten = touched * _get_piece_bytes(table)
+            rewritten = changed_pieces * _get_piece_bytes(table)
             rows.append(
-                [count, kind, len(frame), touched, rewritten / 1e3, took_s * 1e3]
+                [count, kind, len(frame), changed_pieces, rewritten / 1e3, took_s * 1e3]
             )
     return rows
 
@@ -118,32 +122,32 @@
     return len(format_piece(table.pieces[0], 1))
 
 
-def _draw_changes(table, count, kind, drawn):
+def _draw_changes(table, count, kind, rng):
     changes = []
     for _ in range(count):
-        piece = drawn.choice(table.pieces)
-        index = drawn.randrange(len(piece.starts) - 1)
+        piece = rng.choice(table.pieces)
+        index = rng.randrange(len(piece.starts) - 1)
         first, last = piece.starts[index], piece.starts[index + 1] - 1
         if kind != "whole blocks":
             last = (first + last) // 2
-        changes.append(BlockChange(first, last, drawn.randrange(1, 700)))
+        changes.append(BlockChange(first, last, rng.randrange(1, 700)))
     return changes
 
 
-def _count_touched(table, changes):
+def _count_changed_pieces(table, changes):
     firsts = [piece.starts[0] for piece in table.pieces]
     return len({sum(f <= c.first for f in firsts) for c in changes})
 
 
-async def measure_ways():
-    """Return rows of the ways to load the whole table."""
+async def measure_load_methods():
+    """Return a row of load costs for each loading method."""
     from starlette.applications import Starlette
     from starlette.responses import Response, StreamingResponse
     from starlette.routing import Route
 
     from godwitlanding.base.web import HttpServer
 
-    objects = make_block_objects(LETTER)
+    objects = make_block_objects(TARGET_SIZE)
 
     def make_row(name):
         value = base64.b64encode(objects[name]).decode()
@@ -170,43 +174,45 @@
         Route("/stream", get_stream),
     ]
     server = HttpServer("http", Starlette(routes=routes), ADDRESS, HTTP_PORT)
-    stand_in = StandinZoneDaemon(
-        State(BLOCKS_KIND, n, 1, b) for n, b in objects.items()
-    )
+    standin = StandinZoneDaemon(State(BLOCKS_KIND, n, 1, b) for n, b in objects.items())
     await server.start(None)
-    await stand_in.server.start(ADDRESS, ZONE_PORT)
-    rows = [await _run_load(way) for way in WAYS]
+    await standin.server.start(ADDRESS, ZONE_PORT)
+    rows = [await _run_load(method) for method in LOAD_METHODS]
     await server.stop()
-    await stand_in.server.stop()
+    await standin.server.stop()
     return rows
 
 
-async def _run_load(way):
+async def _run_load(method):
     process = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", "godwitlanding.tests.benchmarks.bench_blocks"),
-        *("--load", way),
+        *("--load", method),
         stdout=subprocess.PIPE,
     )
     output, _ = await process.communicate()
-    return [way, *json.loads(output)]
+    return [method, *json.loads(output)]
 
 
-async def load(way):
-    """Load the table in this process; return what it took."""
+async def load(method):
+    """Load the table in this process.
+
+    Returns the number of reads, the seconds, and the megabytes of memory
+    growth, of the peak over the start and of the peak over the end.
+    """
     import os
 
     import aiohttp
 
     loader = BlockLoader()
-    before = read_cost(os.getpid())
+    before = read_process_usage(os.getpid())
     began = time.perf_counter()
-    if way == "zone's push":
+    if method == "zone's push":
         reads = await _load_from_zone(loader)
     else:
         async with aiohttp.ClientSession(read_bufsize=2**20) as session:
-            reads = await _LOAD_BY_WAY[way](loader, session)
+            reads = await _LOADER_BY_METHOD[method](loader, session)
     took_s = time.perf_counter() - began
-    after = read_cost(os.getpid())
+    after = read_process_usage(os.getpid())
     assert loader.table is not None
     return [
         reads,
@@ -253,11 +259,11 @@
     from godwitlanding.base.metrics import Counters
     from godwitlanding.base.wire import Pool
 
-    async def take(channel, state):
+    async def handle_state(channel, state):
         loader.offer(state.name, state.body)
 
     hello = Hello(PROTOCOL_VERSION, "steer", "vm", "zone", "bench")
-    pool = Pool(hello, {State: take}, Counters())
+    pool = Pool(hello, {State: handle_state}, Counters())
     await pool.call(f"{ADDRESS}:{ZONE_PORT}", Subscribe((BLOCKS_KIND,)), 5.0)
     while loader.table is None:
         await asyncio.sleep(0.01)
@@ -265,7 +271,7 @@
     return 0
 
 
-_LOAD_BY_WAY = {
+_LOADER_BY_METHOD = {
     "list": _load_list,
     "streamed": _load_streamed,
     "piece by piece": _load_pieces,
@@ -275,9 +281,9 @@
 def run():
     """Print all tables and write the plots."""
     rows = measure_sizes()
-    head = ["blocks", "pieces", "held MB", "sent MB", "largest KB", "pack s"]
+    header = ["blocks", "pieces", "held MB", "sent MB", "largest KB", "pack s"]
     print(f"Caller blocks in pieces of {BLOCKS_IN_PIECE:,}")
-    print(format_table(head + ["load s", "ms a piece", "find us"], rows))
+    print(format_table(header + ["load s", "ms a piece", "find us"], rows))
     series = {
         "held in a process": [(row[0], row[2]) for row in rows],
         "sent to a process": [(row[0], row[3]) for row in rows],
@@ -291,19 +297,23 @@
         {"binary search": [(row[0], row[8]) for row in rows]},
     )
     print("\nChanging some of 3.2 million blocks")
-    head = ["changes", "what", "delta bytes", "pieces", "as pieces KB", "apply ms"]
-    print(format_table(head, measure_changes()))
+    header = ["changes", "what", "delta bytes", "pieces", "as pieces KB", "apply ms"]
+    print(format_table(header, measure_changes()))
     print("\nLoading all blocks into a fresh process")
-    head = ["way", "reads", "s", "grown MB", "peak MB", "spike MB"]
-    print(format_table(head, asyncio.run(measure_ways())))
+    header = ["way", "reads", "s", "grown MB", "peak MB", "spike MB"]
+    print(format_table(header, asyncio.run(measure_load_methods())))
 
 
 def main(argv=None):
-    """Run the benchmark, or one way of loading for it."""
+    """Run the benchmark, or load the table by one method with ``--load``."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--load", choices=WAYS, help="Only load, for the benchmark")
+    parser.add_argument(
+        "--load",
+        choices=LOAD_METHODS,
+        help="Load by this method only; used by the benchmark itself",
+    )
     arguments = parser.parse_args(argv)
     if arguments.load:
         print(json.dumps(asyncio.run(load(arguments.load))))
--- a/godwitlanding/tests/benchmarks/bench_capacity.py
+++ b/godwitlanding/tests/benchmarks/bench_capacity.py
@@ -1,9 +1,9 @@
-"""Runs all slopes that docs/CAPACITY.md quotes and writes their tables.
+"""Runs the benchmarks that docs/CAPACITY.md quotes and saves their tables.
 
     python -m godwitlanding.tests.benchmarks.bench_capacity
 
-Prints each table as it is measured, and writes them to out/capacity.txt
-and the plots to out/*.png. Takes about six minutes.
+Prints each table when its benchmark ends, and writes all tables to
+out/capacity.txt and the plots to out/*.png. Takes about six minutes.
 """
 
 import argparse
@@ -12,7 +12,7 @@
 import sys
 import time
 
-from godwitlanding.tests.benchmarks.measure import OUT
+from godwitlanding.tests.benchmarks.measure import OUTPUT_DIRECTORY
 
 PACKAGE = "godwitlanding.tests.benchmarks"
 BENCHMARKS = (
@@ -32,20 +32,20 @@
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.parse_args(argv)
-    OUT.mkdir(exist_ok=True)
+    OUTPUT_DIRECTORY.mkdir(exist_ok=True)
     failed = 0
-    with open(OUT / "capacity.txt", "w") as file:
+    with open(OUTPUT_DIRECTORY / "capacity.txt", "w") as file:
         for name, *arguments in BENCHMARKS:
             load = os.getloadavg()[0]
             began = time.monotonic()
             command = [sys.executable, "-m", f"{PACKAGE}.{name}", *arguments]
-            done = subprocess.run(command, stdout=subprocess.PIPE, text=True)
+            completed = subprocess.run(command, stdout=subprocess.PIPE, text=True)
             took_s = time.monotonic() - began
-            failed += done.returncode != 0
+            failed += completed.returncode != 0
             title = " ".join([name, *arguments])
             text = (
-                f"== {title}: exit {done.returncode}, {took_s:.0f} s, "
-                f"load average before {load:.1f}\n\n{done.stdout}\n"
+                f"== {title}: exit {completed.returncode}, {took_s:.0f} s, "
+                f"load average before {load:.1f}\n\n{completed.stdout}\n"
             )
             print(text, flush=True)
             file.write(text)
--- a/godwitlanding/tests/benchmarks/bench_choice.py
+++ b/godwitlanding/tests/benchmarks/bench_choice.py
@@ -1,10 +1,10 @@
-"""Compares ways to choose a caller's zone and VM: who moves, how even.
+"""Compares methods of assigning callers to zones and VMs.
 
     python -m godwitlanding.tests.benchmarks.bench_choice
 
-For each way: how many callers move when a shift moves a tenth of one
-zone's callers to another, with two zones and with three, how many move on
-a refresh without any change, and how far shares are from the weights.
+Shows for each method how many callers move when a tenth of one zone's
+callers is shifted to another, with two zones and with three; how many move
+on a refresh without any change; and how far the shares are from the weights.
 """
 
 import argparse
@@ -31,51 +31,51 @@
 
 
 def choose_random(caller, weights):
-    """Draw afresh each time, as a balancer without memory does."""
+    """Return a weighted random zone, as a stateless balancer does."""
     return random.choices(list(weights), weights.values())[0]
 
 
 def choose_interval(caller, weights):
-    """Put the caller's hash on a line cut by the weights in order."""
+    """Return the zone whose weight interval contains the caller's hash."""
     names = sorted(weights)
-    ends = list(accumulate(weights[name] for name in names))
-    at = get_seed.__wrapped__(caller) / 2**64 * ends[-1]
-    return names[min(bisect_right(ends, at), len(names) - 1)]
+    boundaries = list(accumulate(weights[name] for name in names))
+    position = get_seed.__wrapped__(caller) / 2**64 * boundaries[-1]
+    return names[min(bisect_right(boundaries, position), len(names) - 1)]
 
 
 def choose_rendezvous(caller, weights):
-    """Choose as the product does."""
+    """Return the zone by weighted rendezvous hashing, as in production."""
     return rank_zones(caller, "status", weights)[0]
 
 
-WAYS = {
+METHODS = {
     "random": choose_random,
     "interval of a hash": choose_interval,
     "weighted rendezvous": choose_rendezvous,
 }
 
 
-def measure_ways():
-    """Return a row for each way and shift."""
+def measure_methods():
+    """Return a row for each method and shift."""
     callers = [f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}" for n in range(CALLERS)]
     rows = []
-    for way, choose in WAYS.items():
+    for method, choose in METHODS.items():
         for shift, (before, after) in SHIFTS.items():
             began = time.perf_counter()
             old = [choose(caller, before) for caller in callers]
             cost_us = (time.perf_counter() - began) / CALLERS * 1e6
-            again = [choose(caller, before) for caller in callers]
+            repeated = [choose(caller, before) for caller in callers]
             new = [choose(caller, after) for caller in callers]
-            must = sum(max(0, before[z] - after[z]) for z in before)
-            off = max(abs(new.count(z) / CALLERS - after[z]) for z in after)
+            min_moved_share = sum(max(0, before[z] - after[z]) for z in before)
+            max_deviation = max(abs(new.count(z) / CALLERS - after[z]) for z in after)
             rows.append(
                 [
-                    way,
+                    method,
                     shift,
-                    must * 100,
+                    min_moved_share * 100,
                     _count_moved(old, new) * 100,
-                    _count_moved(old, again) * 100,
-                    off * 100,
+                    _count_moved(old, repeated) * 100,
+                    max_deviation * 100,
                     cost_us,
                 ]
             )
@@ -87,14 +87,14 @@
 
 
 def measure_vms():
-    """Return rows of evenness and moves over a zone's VMs."""
+    """Return rows of moved callers and load balance over a zone's VMs."""
     rows = []
     for count in (2, 6, 24):
         targets = [make_target(f"v{n:02}", f"10.0.0.{n}", "a") for n in range(count)]
-        firsts = [rank_targets(f"c{n}", targets)[0].vm for n in range(CALLERS)]
-        loads = [firsts.count(target.vm) for target in targets]
-        fewer = [rank_targets(f"c{n}", targets[1:])[0].vm for n in range(CALLERS)]
-        moved = _count_moved(firsts, fewer) * 100
+        first_choices = [rank_targets(f"c{n}", targets)[0].vm for n in range(CALLERS)]
+        loads = [first_choices.count(target.vm) for target in targets]
+        after_loss = [rank_targets(f"c{n}", targets[1:])[0].vm for n in range(CALLERS)]
+        moved = _count_moved(first_choices, after_loss) * 100
         rows.append([count, 100 / count, moved, max(loads) / (CALLERS / count)])
     return rows
 
@@ -106,12 +106,12 @@
     )
     parser.parse_args(argv)
     print(f"{CALLERS:,} callers, a shift of a tenth")
-    head = ["way", "shift", "must move %", "moved %", "moved by a refresh %"]
-    head += ["off the weights %", "us"]
-    print(format_table(head, measure_ways()))
+    header = ["way", "shift", "must move %", "moved %", "moved by a refresh %"]
+    header += ["off the weights %", "us"]
+    print(format_table(header, measure_methods()))
     print("\nA zone's VMs by rendezvous, then one VM lost")
-    head = ["VMs", "must move %", "moved %", "busiest to mean"]
-    print(format_table(head, measure_vms()))
+    header = ["VMs", "must move %", "moved %", "busiest to mean"]
+    print(format_table(header, measure_vms()))
 
 
 if __name__ == "__main__":
--- a/godwitlanding/tests/benchmarks/bench_claims.py
+++ b/godwitlanding/tests/benchmarks/bench_claims.py
@@ -1,12 +1,13 @@
-"""Measures what claims cost: the journal against one create a request.
+"""Compares the cost of claims in the journal with one create per request.
 
     python -m godwitlanding.tests.benchmarks.bench_claims
 
-A home writes its journal to a store in memory whose calls take 5 ms, as
-the platform's do, while presses come at random and work takes 0.3 s. Shown
-for each rate: writes a second, the wait of a press for its claim, and bytes
-written a second. A caller's own key takes two writes each by construction:
-the create and the outcome.
+An entry process writes its journal to an in-memory store whose calls take
+5 ms, like those of the platform. Submissions arrive at random and the work
+takes 0.3 s. Prints for each rate the writes per second, the time that a
+submission waits for its claim, and the bytes written per second. A key
+that the caller provides always takes two writes: the create and the
+outcome.
 """
 
 import argparse
@@ -27,24 +28,24 @@
 RATES_PER_S = (0.5, 5, 20, 100)
 STORE_DELAY_S = 0.005
 WORK_S = 0.3
-ANSWER = Outcome(201, (("content-type", "application/json"),), b"x" * 300)
+OUTCOME = Outcome(201, (("content-type", "application/json"),), b"x" * 300)
 
 
 class CountingStore:
-    """Takes every write after the usual delay and keeps only its size."""
+    """Accepts every write after ``STORE_DELAY_S`` and records its size."""
 
     def __init__(self):
         self.sizes = []
 
     async def put(self, kind, name, value, expected_version):
-        """Return ``Ok(new version)``."""
+        """Return ``Ok(new version)`` and record the size of the value."""
         await asyncio.sleep(STORE_DELAY_S)
         self.sizes.append(len(value))
         return Ok(expected_version + 1)
 
 
 async def measure(rate_per_s, seconds):
-    """Return a row for presses at ``rate_per_s`` to one home."""
+    """Return a row for submissions at ``rate_per_s`` to one process."""
     store = CountingStore()
     sizes = store.sizes
     writer = JournalWriter(make_context("entry", make_settings("127.0.0.1")), store)
@@ -53,7 +54,7 @@
     tasks = []
     end = time.monotonic() + seconds
     while time.monotonic() < end:
-        tasks.append(asyncio.ensure_future(press(writer, len(tasks), waits)))
+        tasks.append(asyncio.ensure_future(submit_and_work(writer, len(tasks), waits)))
         await asyncio.sleep(random.expovariate(rate_per_s))
     await asyncio.gather(*tasks)
     await writer.stop()
@@ -69,26 +70,26 @@
     ]
 
 
-async def press(writer, number, waits):
-    """Press once and run the work."""
+async def submit_and_work(writer, number, waits):
+    """Submit a request, run its work and record how long the claim took."""
     ticket = Ticket("pay", JOURNALED, "za1", "h", int(time.time()), f"{number:032x}")
     began = time.perf_counter()
     claim = writer.press(ticket, number).unwrap()
     await writer.wait_recorded(claim)
     waits.append(time.perf_counter() - began)
     await asyncio.sleep(WORK_S)
-    writer.finish(claim, ANSWER)
+    writer.finish(claim, OUTCOME)
 
 
 async def run(seconds):
-    """Print the table."""
+    """Measure all rates at the same time and print the table."""
     rows = await asyncio.gather(*(measure(rate, seconds) for rate in RATES_PER_S))
-    head = ["presses/s", "presses", "writes/s", "by create/s", "p50 ms", "p99 ms"]
-    print(format_table([*head, "KB/s"], rows))
+    header = ["presses/s", "presses", "writes/s", "by create/s", "p50 ms", "p99 ms"]
+    print(format_table([*header, "KB/s"], rows))
 
 
 def main(argv=None):
-    """Print the table."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/godwitlanding/tests/benchmarks/bench_control.py
+++ b/godwitlanding/tests/benchmarks/bench_control.py
@@ -1,10 +1,11 @@
-"""Measures what control costs each daemon: memory, processor, by message.
+"""Measures the memory and CPU cost of the control plane in each daemon.
 
     python -m godwitlanding.tests.benchmarks.bench_control
 
-Each daemon is the real program in a process of its own. ``steer`` and
-``entry`` are fed by a stand-in of the zone daemon, ``zone`` by the stand-in
-platform and by 23 stand-ins of other members that send heartbeats.
+Each daemon is the real program in its own process. ``steer`` and ``entry``
+receive their state from a stand-in of the zone daemon. ``zone`` receives it
+from the stand-in platform and from 23 stand-ins of other members that send
+heartbeats.
 """
 
 import asyncio
@@ -19,15 +20,15 @@
 from godwitlanding.tests.benchmarks.measure import (
     format_table,
     plot,
-    read_cost,
+    read_process_usage,
     run_benchmark,
     run_process,
     wait_for_health,
     write_settings,
 )
 from godwitlanding.tests.benchmarks.sizes import (
-    LETTER,
-    TODAY,
+    CURRENT_SIZE,
+    TARGET_SIZE,
     make_block_objects,
     make_config,
     make_members,
@@ -43,9 +44,9 @@
 PLATFORM_PORT = 17403
 HTTP_PORT_BY_ROLE = {"steer": 17404, "entry": 17405, "zone": 17406}
 ZONE_PORT = 17407
-REST_S = 6.0
-SUMMARY_S = 2.0
-_QUIET_S = 0.5
+IDLE_S = 6.0
+SUMMARY_INTERVAL_S = 2.0
+_QUIET_INTERVAL_S = 0.5
 
 
 def make_settings(size, role):
@@ -69,7 +70,7 @@
 
 @asynccontextmanager
 async def run_daemon(role, settings):
-    """Run a daemon until it is ready; yield its process id."""
+    """Start a daemon and wait until it is ready; yield its process id."""
     with write_settings(settings) as path:
         with run_process(f"godwitlanding.{role}", "--settings", path) as process:
             await wait_for_health(ADDRESS, HTTP_PORT_BY_ROLE[role])
@@ -77,19 +78,19 @@
 
 
 async def wait_until_quiet(pid):
-    """Wait until the process has worked off what it was sent."""
+    """Wait until the process has handled all messages and is idle."""
     while True:
-        before = read_cost(pid).cpu_s
-        await asyncio.sleep(_QUIET_S)
-        if read_cost(pid).cpu_s - before <= 0.01:
+        before = read_process_usage(pid).cpu_s
+        await asyncio.sleep(_QUIET_INTERVAL_S)
+        if read_process_usage(pid).cpu_s - before <= 0.01:
             return
 
 
-async def measure_rest(pid, seconds=REST_S):
-    """Return percent of a core and megabytes of a process left alone."""
-    before = read_cost(pid)
+async def measure_idle(pid, seconds=IDLE_S):
+    """Return percent of a core, resident and peak megabytes when idle."""
+    before = read_process_usage(pid)
     await asyncio.sleep(seconds)
-    after = read_cost(pid)
+    after = read_process_usage(pid)
     percent = (after.cpu_s - before.cpu_s) / seconds * 100
     return [percent, after.resident_mb, after.peak_mb]
 
@@ -99,7 +100,10 @@
 
 
 def make_pushes(size):
-    """Return ``(what, count, function of the number to its state)``."""
+    """Return rows ``(name, count, make_state)`` of the states to push.
+
+    ``make_state(n)`` returns the ``n``-th state, counted from 1.
+    """
     zone = size.get_zones()[0]
     vms = _encode(make_vms(size))
     plan = _encode(make_plan(size))
@@ -159,67 +163,70 @@
     ]
 
 
-async def measure_fed(role, size):
-    """Return rows of rest and of pushes for ``steer`` or ``entry``."""
+async def measure_pushes(role, size):
+    """Return the idle cost of ``steer`` or ``entry`` and rows of push costs.
+
+    Pushes are measured at ``TARGET_SIZE`` only.
+    """
     states = make_states(size, size.get_zones()[0], with_blocks=role == "steer")
-    stand_in = StandinZoneDaemon(states)
-    await stand_in.server.start(ADDRESS, ZONE_PORT)
+    standin = StandinZoneDaemon(states)
+    await standin.server.start(ADDRESS, ZONE_PORT)
     push_rows = []
     async with run_daemon(role, make_settings(size, role)) as pid:
         await asyncio.sleep(2)
         await wait_until_quiet(pid)
-        rest = await measure_rest(pid)
-        if size is LETTER:
+        idle = await measure_idle(pid)
+        if size is TARGET_SIZE:
             for what, count, make in make_pushes(size):
                 if role == "entry" and "block" in what:
                     continue
-                push_rows.append(await _measure_push(stand_in, pid, what, count, make))
-    await stand_in.server.stop()
-    return rest, push_rows
+                push_rows.append(await _measure_push(standin, pid, what, count, make))
+    await standin.server.stop()
+    return idle, push_rows
 
 
-async def _measure_push(stand_in, pid, what, count, make):
-    before = read_cost(pid)
+async def _measure_push(standin, pid, what, count, make):
+    before = read_process_usage(pid)
     for n in range(1, count + 1):
-        await stand_in.push(make(n))
+        await standin.push(make(n))
         await asyncio.sleep(0.001)
     await wait_until_quiet(pid)
-    after = read_cost(pid)
+    after = read_process_usage(pid)
     cost_ms = (after.cpu_s - before.cpu_s) / count * 1000
     return [what, count, cost_ms, after.resident_mb]
 
 
 async def measure_zone(size, with_blocks):
-    """Return rows for the zone daemon, at rest and with summaries."""
+    """Return rows for the zone daemon, idle and with summaries."""
     zone = size.get_zones()[0]
     names = [vm for vm, _ in size.get_vms(zone)]
     rows = [(vm, f"127.0.50.{n}", zone) for n, vm in enumerate(names, 1)]
-    dials = f"{ADDRESS}:{ZONE_PORT}"
-    peers = [StandinPeer(*row, ZONE_PORT, dials) for row in rows[1:]]
+    daemon_address = f"{ADDRESS}:{ZONE_PORT}"
+    peers = [StandinPeer(*row, ZONE_PORT, daemon_address) for row in rows[1:]]
     url = f"http://{PLATFORM}:{PLATFORM_PORT}"
     arguments = ("--host", PLATFORM, "--port", str(PLATFORM_PORT))
     with run_process("godwitlanding.tests.standins.standin_platform", *arguments):
         await _wait_for_platform(url)
         store = HttpStore(url, 5.0)
-        await _fill(store, url, size, rows, with_blocks)
+        await _populate_platform(store, url, size, rows, with_blocks)
         for peer in peers:
             await peer.start()
         settings = make_settings(size, "zone")
         async with run_daemon("zone", settings) as pid:
             await asyncio.sleep(3)
-            found = []
+            result_rows = []
             if with_blocks:
                 await _copy_versions(store, peers)
             await asyncio.sleep(2)
-            found.append(["at rest", *await measure_rest(pid)])
+            result_rows.append(["at rest", *await measure_idle(pid)])
             task = asyncio.ensure_future(_write_summaries(store, size))
             await asyncio.sleep(2)
-            found.append(["with summaries", *await measure_rest(pid)])
+            result_rows.append(["with summaries", *await measure_idle(pid)])
             task.cancel()
         for peer in peers:
             await peer.stop()
         await store.close()
-    return found
+    return result_rows
 
 
 async def _wait_for_platform(url):
@@ -229,7 +236,7 @@
     await store.close()
 
 
-async def _fill(store, url, size, rows, with_blocks):
+async def _populate_platform(store, url, size, rows, with_blocks):
     import aiohttp
 
     keys = ("vm", "address", "availability_zone", "state")
@@ -263,29 +270,29 @@
         for zone, version in version_by_zone.items():
             written = await store.put("summary", zone, body, version)
             version_by_zone[zone] = written.unwrap()
-            await asyncio.sleep(SUMMARY_S / size.zones)
+            await asyncio.sleep(SUMMARY_INTERVAL_S / size.zones)
 
 
 async def run():
-    """Print all tables and write the plot."""
-    rest_rows = []
+    """Print all tables and write the plots."""
+    idle_rows = []
     for role in ("steer", "entry"):
-        for name, size in (("today", TODAY), ("letter", LETTER)):
-            rest, pushes = await measure_fed(role, size)
-            rest_rows.append([role, name, "at rest", *rest])
+        for name, size in (("today", CURRENT_SIZE), ("letter", TARGET_SIZE)):
+            idle, pushes = await measure_pushes(role, size)
+            idle_rows.append([role, name, "at rest", *idle])
         print(f"\nWhat a push costs {role}, with the letter's state")
         print(format_table(["push", "count", "ms each", "MB after"], pushes))
         _plot_config(role, pushes)
     for name, size, with_blocks in (
-        ("today", TODAY, False),
-        ("letter, no blocks", LETTER, False),
-        ("letter, with blocks", LETTER, True),
+        ("today", CURRENT_SIZE, False),
+        ("letter, no blocks", TARGET_SIZE, False),
+        ("letter, with blocks", TARGET_SIZE, True),
     ):
         for row in await measure_zone(size, with_blocks):
-            rest_rows.append(["zone", name, *row])
+            idle_rows.append(["zone", name, *row])
     print("\nEach daemon")
-    head = ["daemon", "state", "load", "core %", "MB", "peak MB"]
-    print(format_table(head, rest_rows))
+    header = ["daemon", "state", "load", "core %", "MB", "peak MB"]
+    print(format_table(header, idle_rows))
 
 
 def _plot_config(role, pushes):
--- a/godwitlanding/tests/benchmarks/bench_decisions.py
+++ b/godwitlanding/tests/benchmarks/bench_decisions.py
@@ -1,7 +1,8 @@
-"""Compares the arbiter with naive designs by what callers receive.
+"""Compares the arbiter with simpler designs by the results for callers.
 
-Prints a table for each load pattern and writes a plot of each to ``out/``;
-then what one decision costs by length of the queue and number of upstreams.
+Prints a table for each load pattern and writes a plot of each to ``out/``.
+Then prints the cost of one decision by queue length and number of
+upstreams.
 
     python -m godwitlanding.tests.benchmarks.bench_decisions --pattern burst
 """
@@ -50,19 +51,29 @@
 
 
 def parse_arguments(argv=None):
-    """Return the arguments of the benchmark."""
+    """Return the parsed command line."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--pattern", default="", help="Only patterns with this word")
-    parser.add_argument("--workload", default="", help="Only workloads with this word")
-    parser.add_argument("--seed", type=int, default=1, help="Seed of the arrivals")
-    parser.add_argument("--out", default="out", metavar="DIR", help="Where plots go")
+    parser.add_argument(
+        "--pattern", default="", help="Only patterns whose name contains this"
+    )
+    parser.add_argument(
+        "--workload", default="", help="Only workloads whose name contains this"
+    )
+    parser.add_argument(
+        "--seed", type=int, default=1, help="Random seed of the arrivals"
+    )
+    parser.add_argument(
+        "--out", default="out", metavar="DIR", help="Directory for plots"
+    )
     parser.add_argument("--no-plots", action="store_true", help="Print tables only")
-    parser.add_argument("--no-costs", action="store_true", help="Leave out the costs")
+    parser.add_argument(
+        "--no-costs", action="store_true", help="Skip the decision costs"
+    )
     return parser.parse_args(argv)
 
 
 def run_design(design, workload, pattern, seed=1):
-    """Run a design under a pattern; return the finished run."""
+    """Simulate a design under a load pattern; return the finished run."""
     if issubclass(design, Pooled):
         design = partial(design, work_s=workload.work_s)
     run = Run(design, pattern.streams, workload.upstreams, seed, pattern.events)
@@ -96,7 +107,7 @@
 
 
 def run_pattern(workload, pattern, arguments):
-    """Run every design under a pattern; print the table, write the plot."""
+    """Run every design under a pattern; print the table and write the plot."""
     print(f"\n{workload.name}: {pattern.name}")
     designs = DESIGNS + EXTRA_DESIGNS_BY_PATTERN.get(pattern.name, ())
     run_by_design = {
--- a/godwitlanding/tests/benchmarks/bench_entry.py
+++ b/godwitlanding/tests/benchmarks/bench_entry.py
@@ -1,12 +1,13 @@
-"""Measures the entry daemon against a bare pass-through, in one run.
+"""Compares the entry daemon with a minimal reverse proxy.
 
     python -m godwitlanding.tests.benchmarks.bench_entry
 
-Requests of no working time go to an upstream directly, through the bare
-pass-through (``passthrough.py``) and through the entry daemon with its real
-zone daemon: latency with one caller, requests a second with many, and
-processor time a request. The three take turns, and the median of the
-rounds is shown. ``--send`` is the sender, a process of its own.
+Requests that need no work at the upstream are sent directly to it, through
+the minimal proxy (``passthrough.py``) and through the entry daemon with its
+real zone daemon. Measures latency with one connection, requests per second
+with many, and CPU time per request. The three targets alternate within one
+run, and the table shows the median of the rounds. ``--send`` is the load
+generator, which runs in its own process.
 """
 
 import argparse
@@ -18,7 +19,11 @@
 import time
 from typing import NamedTuple
 
-from godwitlanding.tests.benchmarks.measure import format_table, read_cost, run_process
+from godwitlanding.tests.benchmarks.measure import (
+    format_table,
+    read_process_usage,
+    run_process,
+)
 from godwitlanding.tests.load.lookups import Connection
 from godwitlanding.tests.tools.cluster import Cluster
 from godwitlanding.tests.tools.network import make_network
@@ -29,11 +34,11 @@
 SLOTS = 30
 CONNECTIONS = (1, 32)
 ROUNDS = 3
-WARM_S = 1.0
+WARMUP_S = 1.0
 
 
 class Target(NamedTuple):
-    """What requests are sent to, and whose processor time counts."""
+    """Where requests are sent, and the processes whose CPU time is counted."""
 
     name: str
     host: str
@@ -43,7 +48,7 @@
 
 
 class Result(NamedTuple):
-    """One turn of a target."""
+    """The measurements of one target in one round."""
 
     per_s: float
     p50_ms: float
@@ -51,8 +56,8 @@
     cpu_us: float
 
 
-def make_text():
-    """Return a text with more slots than the senders have connections."""
+def make_config_text():
+    """Return a configuration with more slots than there are connections."""
     upstreams = [
         {
             "id": f"status-{number}",
@@ -77,34 +82,37 @@
 
 
 async def send(host, port, path, connections, seconds):
-    """Keep ``connections`` busy; return counts and latencies."""
+    """Send requests back to back on each connection for ``seconds``.
+
+    Returns the number of responses, the throughput and the latencies.
+    """
     loop = asyncio.get_running_loop()
     latencies = []
     request = f"GET {path} HTTP/1.1\r\nHost: bench\r\n\r\n".encode()
-    made = []
+    opened = []
     for _ in range(connections):
         _, connection = await loop.create_connection(
             lambda: Connection(itertools.repeat(request), latencies), host, port
         )
-        made.append(connection)
-    await asyncio.sleep(WARM_S)
+        opened.append(connection)
+    await asyncio.sleep(WARMUP_S)
     latencies.clear()
     began = time.perf_counter()
     await asyncio.sleep(seconds)
     took_s = time.perf_counter() - began
     ordered = sorted(latencies)
     return {
-        "count": sum(connection.answered for connection in made),
-        "bad": sum(connection.bad for connection in made),
+        "count": sum(connection.answered for connection in opened),
+        "bad": sum(connection.bad for connection in opened),
         "per_s": len(ordered) / took_s,
         "p50_ms": ordered[len(ordered) // 2] * 1000,
         "p99_ms": ordered[len(ordered) * 99 // 100] * 1000,
     }
 
 
-async def take_turn(target, connections, seconds):
-    """Send to a target from a process of its own; return its ``Result``."""
-    before = sum(read_cost(pid).cpu_s for pid in target.pids)
+async def run_round(target, connections, seconds):
+    """Send to a target from a separate process; return the ``Result``."""
+    before = sum(read_process_usage(pid).cpu_s for pid in target.pids)
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -114,35 +122,35 @@
         stdout=asyncio.subprocess.PIPE,
     )
     output, _ = await process.communicate()
-    counted = json.loads(output)
-    if counted["bad"]:
-        raise RuntimeError(f"{target.name}: {counted['bad']} answers were not 200")
-    cpu_s = sum(read_cost(pid).cpu_s for pid in target.pids) - before
-    cpu_us = cpu_s / counted["count"] * 1e6
-    return Result(counted["per_s"], counted["p50_ms"], counted["p99_ms"], cpu_us)
+    counts = json.loads(output)
+    if counts["bad"]:
+        raise RuntimeError(f"{target.name}: {counts['bad']} responses were not 200")
+    cpu_s = sum(read_process_usage(pid).cpu_s for pid in target.pids) - before
+    cpu_us = cpu_s / counts["count"] * 1e6
+    return Result(counts["per_s"], counts["p50_ms"], counts["p99_ms"], cpu_us)
 
 
-def join_rounds(results):
-    """Return the median of each figure."""
+def get_medians(results):
+    """Return a ``Result`` with the median of each measurement."""
     return Result(*(statistics.median(column) for column in zip(*results)))
 
 
 async def measure(targets, seconds):
-    """Let the targets take turns; return the rows of the table."""
+    """Measure the targets alternately; return the rows of the table."""
     rows = []
     for connections in CONNECTIONS:
         results_by_name = {target.name: [] for target in targets}
         for _ in range(ROUNDS):
             for target in targets:
-                result = await take_turn(target, connections, seconds)
+                result = await run_round(target, connections, seconds)
                 results_by_name[target.name].append(result)
-        joined = {name: join_rounds(r) for name, r in results_by_name.items()}
-        rows += make_rows(connections, joined)
+        medians = {name: get_medians(r) for name, r in results_by_name.items()}
+        rows += make_rows(connections, medians)
     return rows
 
 
 def make_rows(connections, result_by_name):
-    """Return a row for each target, with ratios to the pass-through."""
+    """Return a row for each target, with ratios to the minimal proxy."""
     baseline = result_by_name["pass-through"]
     return [
         [
@@ -158,8 +166,8 @@
 
 
 async def run(seconds):
-    """Start everything, measure, print the table."""
-    cluster = Cluster(make_text(), NETWORK, vms_per_zone=1)
+    """Start the cluster and the proxy, measure and print the table."""
+    cluster = Cluster(make_config_text(), NETWORK, vms_per_zone=1)
     upstreams = [f"127.0.31.{number}:9000" for number in range(1, UPSTREAMS + 1)]
     host, port = BASELINE
     arguments = ("--host", host, "--port", str(port))
@@ -176,12 +184,12 @@
             rows = await measure(targets, seconds)
     finally:
         await cluster.stop()
-    head = ["target", "callers", "per_s", "p50 ms", "p99 ms", "cpu us"]
-    print(format_table([*head, "per_s x", "p50 x", "p99 x"], rows))
+    header = ["target", "callers", "per_s", "p50 ms", "p99 ms", "cpu us"]
+    print(format_table([*header, "per_s x", "p50 x", "p99 x"], rows))
 
 
 def list_targets(cluster, baseline_pid):
-    """Return the three targets."""
+    """Return the upstream, the minimal proxy and the entry daemon."""
     entry = cluster.get_pid("za-1", "entry")
     zone = cluster.get_pid("za-1", "zone")
     path = "/s/status/x?ms=0"
@@ -193,11 +201,13 @@
 
 
 def main(argv=None):
-    """Print the table."""
+    """Run the benchmark, or the load generator with ``--send``."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--seconds", type=float, default=3.0, help="Each turn")
+    parser.add_argument(
+        "--seconds", type=float, default=3.0, help="Length of each round"
+    )
     parser.add_argument("--send", help=argparse.SUPPRESS)
     arguments = parser.parse_args(argv)
     if arguments.send:
--- a/godwitlanding/tests/benchmarks/bench_faults.py
+++ b/godwitlanding/tests/benchmarks/bench_faults.py
@@ -1,8 +1,8 @@
-"""What callers see of each fault, and what it costs the platform.
+"""Measures the effect of each fault on callers and on the platform.
 
-Starts a small system for each fault, lets load run, breaks something, and
-prints what the callers received, how long until all was normal again, and
-the platform's reads, writes and waiting watches a second.
+Starts a small system under load for each fault, injects the fault, and
+prints the outcomes that callers received, the time until all requests
+succeeded again, and the platform's reads, writes and watches per second.
 
     python -m godwitlanding.tests.benchmarks.bench_faults [FAULT ...]
 """
@@ -19,7 +19,7 @@
 from godwitlanding.tests.tools.cluster import Cluster
 from godwitlanding.tests.tools.network import claim_test_network
 
-TEXT = (Path(__file__).parents[1] / "data/small.json5").read_text()
+CONFIG_TEXT = (Path(__file__).parents[1] / "data/small.json5").read_text()
 RATES = (Rate("status", 60.0), Rate("renewal", 12.0), Rate("passes", 6.0))
 BEFORE_S = 4.0
 DURING_S = 6.0
@@ -29,7 +29,7 @@
 
 
 class Row(NamedTuple):
-    """What one fault did; times in seconds from its beginning."""
+    """The effect of one fault; times are in seconds from its start."""
 
     fault: str
     sent: int
@@ -50,23 +50,23 @@
 
 
 async def do_nothing(cluster):
-    """Break nothing: the figures at rest, under load only."""
+    """Inject no fault: the baseline under load."""
 
 
 async def kill_vm(cluster):
-    """Kill an entry VM; the platform's list follows 2 s later."""
+    """Kill an entry VM; the platform's VM list shows it 2 s later."""
     await cluster.kill_vm(VM)
 
 
 async def kill_arbiter(cluster):
-    """Kill only the zone daemon that arbitrates look-ups."""
+    """Kill only the zone daemon that arbitrates lookups."""
     status = await cluster.get_status(VM, "zone")
     arbiters = status["services"]["members"]["arbiters_by_service"]
     await cluster.kill(arbiters["status"][0], "zone")
 
 
-async def pause(cluster, roles):
-    """Pause daemons of a VM and let them go on."""
+async def pause_daemons(cluster, roles):
+    """Pause daemons of a VM for ``DURING_S``, then resume them."""
     for role in roles:
         cluster.send_signal(VM, role, signal.SIGSTOP)
     await asyncio.sleep(DURING_S)
@@ -75,74 +75,74 @@
 
 
 async def pause_zone(cluster):
-    """Pause a VM's zone daemon past its loans."""
-    await pause(cluster, ("zone",))
+    """Pause a VM's zone daemon until its loans have expired."""
+    await pause_daemons(cluster, ("zone",))
 
 
 async def pause_entry(cluster):
-    """Pause a VM's entry daemon past its permits."""
-    await pause(cluster, ("entry",))
+    """Pause a VM's entry daemon until its permits have expired."""
+    await pause_daemons(cluster, ("entry",))
 
 
 async def pause_vm(cluster):
     """Pause all daemons of a VM."""
-    await pause(cluster, ("zone", "entry", "steer"))
+    await pause_daemons(cluster, ("zone", "entry", "steer"))
 
 
-async def _outage(cluster, how):
-    await cluster.standins.set_faults(outage=how)
+async def _run_outage(cluster, mode):
+    await cluster.standins.set_faults(outage=mode)
     await asyncio.sleep(DURING_S)
     await cluster.standins.set_faults(outage="none")
 
 
 async def platform_down(cluster):
-    """The platform answers 503 for a while."""
-    await _outage(cluster, "refuse")
+    """Make the platform respond with 503 for ``DURING_S``."""
+    await _run_outage(cluster, "refuse")
 
 
 async def platform_hangs(cluster):
-    """The platform takes calls and never answers."""
-    await _outage(cluster, "hang")
+    """Make the platform accept calls without responding for ``DURING_S``."""
+    await _run_outage(cluster, "hang")
 
 
 async def platform_slow(cluster):
-    """Each call of the platform takes a second."""
+    """Delay each platform call by a second for ``DURING_S``."""
     await cluster.standins.set_faults(delay_s=1.0)
     await asyncio.sleep(DURING_S)
     await cluster.standins.set_faults(delay_s=0.0)
 
 
 async def lost_answers(cluster):
-    """The platform does 20 writes and loses their answers."""
+    """Make the platform apply 20 writes and drop their responses."""
     await cluster.standins.set_faults(lost_answers=20)
 
 
 async def drain_upstream(cluster):
-    """An upstream says that it is draining."""
+    """Make an upstream report that it is draining."""
     await cluster.standins.change_upstream(UPSTREAM, draining=True)
 
 
 async def slow_upstream(cluster):
-    """An upstream takes ten times as long."""
+    """Make an upstream ten times slower for ``DURING_S``."""
     await cluster.standins.change_upstream(UPSTREAM, slow_factor=10.0)
     await asyncio.sleep(DURING_S)
     await cluster.standins.change_upstream(UPSTREAM, slow_factor=1.0)
 
 
 async def crash_upstream(cluster):
-    """An upstream crashes and is away for 3 s."""
+    """Crash an upstream, which restarts after 3 s."""
     await cluster.standins.crash_upstream(UPSTREAM, 3.0)
 
 
 async def lying_health(cluster):
-    """Every upstream's health says that it fails."""
+    """Make all upstreams report failing health checks for ``DURING_S``."""
     await cluster.standins.change_upstream("all", health="always_bad")
     await asyncio.sleep(DURING_S)
     await cluster.standins.change_upstream("all", health="true")
 
 
 async def stop_vm(cluster):
-    """Stop an entry VM as planned."""
+    """Stop an entry VM gracefully."""
     await cluster.stop_vm(VM)
 
 
@@ -167,8 +167,8 @@
 
 
 async def measure(fault, network, log_directory=None, timeline=False):
-    """Run one fault; return its ``Row``."""
-    cluster = Cluster(TEXT, network, log_directory=log_directory)
+    """Run the system under load with one fault; return its ``Row``."""
+    cluster = Cluster(CONFIG_TEXT, network, log_directory=log_directory)
     loop = asyncio.get_running_loop()
     try:
         cluster.stop_on_sigterm()
@@ -192,9 +192,9 @@
 
 
 def make_row(name, tally, verdict, began, before, after, took_s):
-    """Return the row of a finished run."""
-    bad = [end.at for end in tally.ends if end.result.outcome != "complete"]
-    last = max([at for at in bad if at >= began], default=began)
+    """Return the ``Row`` of a finished run."""
+    failed_at_s = [end.at for end in tally.ends if end.result.outcome != "complete"]
+    last = max([at for at in failed_at_s if at >= began], default=began)
     rates = {k: (after[k] - before[k]) / took_s for k in ("reads", "writes", "watches")}
     reasons = {
         f"{service} {result.outcome} {result.reason}": count
@@ -222,7 +222,7 @@
 
 
 def print_timeline(tally, began):
-    """Print each second's outcomes."""
+    """Print the number of each outcome per second from the fault's start."""
     counts_by_second = {}
     for end in tally.ends:
         counts = counts_by_second.setdefault(int((end.at - began) // 1), Counter())
@@ -232,22 +232,26 @@
 
 
 def format_row(row):
-    """Return a line of the table; the reasons stand below it."""
+    """Return a line of the table, without the reasons."""
     cells = [f"{value:>9}" for value in row[1:-1]]
     return f"{row.fault:<15}" + "".join(cells)
 
 
 def parse_arguments(argv=None):
-    """Return the arguments."""
+    """Return the parsed command line."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    parser.add_argument("faults", nargs="*", metavar="FAULT", help="Only these")
-    parser.add_argument("--logs", metavar="DIR", help="Keep settings and logs there")
-    parser.add_argument("--timeline", action="store_true", help="Show each second")
+    parser.add_argument(
+        "faults", nargs="*", metavar="FAULT", help="Run only these faults"
+    )
+    parser.add_argument("--logs", metavar="DIR", help="Directory for settings and logs")
+    parser.add_argument(
+        "--timeline", action="store_true", help="Print the outcomes of each second"
+    )
     parser.add_argument("--json", metavar="FILE", help="Write the rows there as well")
     arguments = parser.parse_args(argv)
     unknown = set(arguments.faults) - set(FAULT_BY_NAME)
     if unknown:
-        parser.error(f"no such fault: {sorted(unknown)}; known: {list(FAULT_BY_NAME)}")
+        parser.error(f"unknown faults: {sorted(unknown)}; known: {list(FAULT_BY_NAME)}")
     return arguments
 
 
--- a/godwitlanding/tests/benchmarks/bench_journal.py
+++ b/godwitlanding/tests/benchmarks/bench_journal.py
@@ -1,10 +1,11 @@
-"""Measures what non-idempotent work costs the platform and its home.
+"""Measures the journal's cost to the platform and the entry process.
 
     python -m godwitlanding.tests.benchmarks.bench_journal
 
-The real journal of one entry process against the platform in memory:
-writes a second by payments a second, and the size and processor time of
-one write by the number of records that it carries.
+Non-idempotent requests are recorded in the journal of an entry process. Runs
+the real journal of one process against an in-memory platform. Measures the
+writes per second by payments per second, and the size and time of one write
+by the number of records in it.
 """
 
 import asyncio
@@ -24,14 +25,14 @@
 RATES = (1, 5, 20, 100)
 SECONDS = 6.0
 WORK_S = 0.3
-RECORDS = (10, 100, 1000)
+RECORD_COUNTS = (10, 100, 1000)
 BODY = b"x" * 300
 SETTINGS = """{vm: "v", address: "127.0.50.1", availability_zone: "z",
     platform_url: "http://127.0.50.1:1"}"""
 
 
 def make_ticket():
-    """Return a ticket that nobody used yet."""
+    """Return an unused ticket."""
     return Ticket("pay", JOURNALED, "v", "v-1", int(time.time()), uuid.uuid4().hex)
 
 
@@ -41,14 +42,14 @@
 
 
 async def measure_rate(rate):
-    """Return writes, bytes and waiting at so many payments a second."""
+    """Return writes and waiting times at ``rate`` payments per second."""
     store = FakeStore()
-    written = []
+    operations = []
 
-    async def note(operation, kind, name):
-        written.append(operation)
+    async def record_call(operation, kind, name):
+        operations.append(operation)
 
-    store.before_call = note
+    store.before_call = record_call
     store.delay_s = 0.003
     context = make_context("entry", check_settings(SETTINGS).unwrap())
     writer = JournalWriter(context, store)
@@ -67,7 +68,7 @@
     for _ in range(int(rate * SECONDS)):
         tasks.append(asyncio.ensure_future(pay()))
         await asyncio.sleep(1 / rate)
-    writes = written.count("put")
+    writes = operations.count("put")
     await asyncio.gather(*tasks)
     await writer.stop()
     waits.sort()
@@ -81,7 +82,7 @@
 
 
 def measure_size(records):
-    """Return bytes and milliseconds of a write of so many records."""
+    """Return bytes and milliseconds of a write of ``records`` records."""
     row = [records]
     for body in (None, BODY):
         journal = Journal("v-entry-1")
@@ -98,12 +99,12 @@
 async def run():
     """Print both tables and write the plot."""
     rows = [await measure_rate(rate) for rate in RATES]
-    head = ["payments/s", "writes/s", "writes a payment", "p50 wait ms", "most ms"]
-    print(format_table(head, rows))
+    header = ["payments/s", "writes/s", "writes a payment", "p50 wait ms", "most ms"]
+    print(format_table(header, rows))
     print("\nOne write, without and with bodies of answers")
-    rows = [measure_size(records) for records in RECORDS]
-    head = ["records", "bytes", "a record", "ms", "with bodies", "a record", "ms"]
-    print(format_table(head, rows))
+    rows = [measure_size(records) for records in RECORD_COUNTS]
+    header = ["records", "bytes", "a record", "ms", "with bodies", "a record", "ms"]
+    print(format_table(header, rows))
     series = {
         "without bodies": [(row[0], row[1] / 1000) for row in rows],
         "with bodies": [(row[0], row[4] / 1000) for row in rows],
--- a/godwitlanding/tests/benchmarks/bench_takeover.py
+++ b/godwitlanding/tests/benchmarks/bench_takeover.py
@@ -1,11 +1,12 @@
-"""Measures changes, take-overs and the cost at rest of real zone daemons.
+"""Measures propagation, failover and idle cost of real zone daemons.
 
     python -m godwitlanding.tests.benchmarks.bench_takeover
 
-Starts a cluster of separate processes and prints one table: seconds from
-the platform's commit of a change to the last process, seconds until another
-arbiter grants after a kill, a pause and a planned stop, seconds until
-another planner holds the lease, and what a zone costs at rest.
+Starts a cluster of separate processes and prints one table: the seconds from
+the platform's commit of a change until the last process has it; the seconds
+until another arbiter grants after a kill, a pause, a graceful stop and the
+loss of its VM; the seconds until another planner holds the lease; and the
+cost of an idle zone.
 """
 
 import argparse
@@ -18,56 +19,59 @@
 
 from godwitlanding.base.messages import Envelope, Heartbeat, VersionOf, encode
 from godwitlanding.base.store import HttpStore
-from godwitlanding.tests.benchmarks.measure import format_table, read_cost
+from godwitlanding.tests.benchmarks.measure import format_table, read_process_usage
 from godwitlanding.tests.tools.cluster import ROLES, Cluster, wait_until
 from godwitlanding.tests.tools.network import make_network
 
 TEXT = Path(__file__).parents[1] / "data/small.json5"
 POLL_S = 0.02
-LIMIT_S = 60.0
+TIMEOUT_S = 60.0
 SETTLE_S = 6.0
-GIVE_UP_S = 10.0
-FRAME_HEAD_BYTES = 4
+SLOT_TIMEOUT_S = 10.0
+FRAME_HEADER_BYTES = 4
 
 
 def parse_arguments(argv=None):
-    """Return the benchmark's arguments."""
+    """Return the parsed command line."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument(
-        "--network", type=int, default=40, help="Use 127.0.NETWORK.x and the next"
+        "--network",
+        type=int,
+        default=40,
+        help="Use 127.0.NETWORK.x and the next network",
     )
     parser.add_argument(
-        "--changes", type=int, default=5, help="Changes of the configuration"
+        "--changes", type=int, default=5, help="Number of configuration changes"
     )
     parser.add_argument(
-        "--rest-s", type=float, default=15.0, help="Seconds measured at rest"
+        "--rest-s", type=float, default=15.0, help="Seconds to measure while idle"
     )
     parser.add_argument(
-        "--text", default=str(TEXT), help="Configuration to run, a sample's path"
+        "--text", default=str(TEXT), help="Path of the configuration to run"
     )
     return parser.parse_args(argv)
 
 
-class Bench:
-    """A running cluster and the measurements on it."""
+class TakeoverBenchmark:
+    """Runs the measurements on a started cluster and collects their rows."""
 
     def __init__(self, cluster):
         self.cluster = cluster
         self.rows = []
         self.store = HttpStore(cluster.standins.platform_url, 2.0)
 
-    def note(self, what, value, unit):
+    def add_row(self, what, value, unit):
         """Add a row to the table."""
         self.rows.append((what, value, unit))
 
-    async def read_zones(self, without=""):
-        """Return the status of each zone daemon that answers, by vm.
+    async def read_zones(self, excluded_vm=""):
+        """Return the status of each zone daemon that responds, by vm.
 
-        A paused daemon would hold the reading up; leave it out.
+        A paused daemon would block the reading and must be excluded.
         """
         status_by_vm = {}
         for vm in self.cluster.vm_by_name:
-            if vm == without:
+            if vm == excluded_vm:
                 continue
             status = await self.cluster.get_status(vm, "zone")
             if status:
@@ -75,19 +79,19 @@
         return status_by_vm
 
     async def measure_changes(self, count):
-        """Commit changes; time until the last process holds each."""
+        """Measure the time from each commit until the last process has it."""
         times_s = []
         for number in range(count):
-            held = (await self.store.get("config", "main")).unwrap()
-            text = held.value + f"\n// change {number}\n".encode()
-            put = await self.store.put("config", "main", text, held.version)
+            current = (await self.store.get("config", "main")).unwrap()
+            text = current.value + f"\n// change {number}\n".encode()
+            put = await self.store.put("config", "main", text, current.version)
             version = put.unwrap()
             began = now()
             await self._wait_for_version(version)
             times_s.append(now() - began)
             await asyncio.sleep(1)
-        self.note("change to the last process, median", median(times_s), "s")
-        self.note("change to the last process, most", max(times_s), "s")
+        self.add_row("change to the last process, median", median(times_s), "s")
+        self.add_row("change to the last process, most", max(times_s), "s")
 
     async def _wait_for_version(self, version):
         async def has_all():
@@ -104,51 +108,55 @@
 
         await poll(has_all, "the change")
 
-    async def find_arbiters(self, service, without=""):
-        """Yield each vm whose desk for the service grants, and its status."""
-        for vm, status in (await self.read_zones(without)).items():
+    async def find_arbiters(self, service, excluded_vm=""):
+        """Yield ``(vm, status)`` of each permit server that can grant."""
+        for vm, status in (await self.read_zones(excluded_vm)).items():
             arbitration = status["services"]["arbitration"]["services"]
-            desk = arbitration.get(service, {})
-            if desk.get("active") and desk.get("usable_slots"):
-                yield vm, desk
+            permit_server = arbitration.get(service, {})
+            if permit_server.get("active") and permit_server.get("usable_slots"):
+                yield vm, permit_server
 
-    async def measure_arbiter(self, what, end, restore=None):
-        """Take an arbiter away; time until another one grants."""
+    async def measure_arbiter(self, what, remove, restore=None):
+        """Measure the time from ``remove(arbiter)`` until another one grants.
+
+        With ``restore``, then also measures the time until every slot is
+        usable after ``restore(arbiter)``.
+        """
         zone = next(iter(self.cluster.config.region_by_zone))
         service = next(iter(self.cluster.config.service_by_name))
         slots = self._count_slots(zone, service)
         arbiter = await self._get_arbiter_in(zone, service)
         began = now()
-        await end(arbiter)
+        await remove(arbiter)
         first_s = None
 
         async def is_taken():
             nonlocal first_s
-            async for vm, desk in self.find_arbiters(service, arbiter):
+            async for vm, permit_server in self.find_arbiters(service, arbiter):
                 if not vm.startswith(zone):
                     continue
                 first_s = first_s or now() - began
-                if desk["usable_slots"] >= slots:
+                if permit_server["usable_slots"] >= slots:
                     return True
-            return now() - began > GIVE_UP_S
+            return now() - began > SLOT_TIMEOUT_S
 
         await poll(is_taken, "another arbiter")
-        self.note(f"arbiter {what}: first slot elsewhere", first_s, "s")
+        self.add_row(f"arbiter {what}: first slot elsewhere", first_s, "s")
         all_s = now() - began
-        # A VM that is only silent keeps its upstreams.
-        note = "s" if all_s < GIVE_UP_S else "s, not all slots by then"
-        self.note(f"arbiter {what}: every slot elsewhere", all_s, note)
+        # A VM that only stops responding keeps its upstreams.
+        unit = "s" if all_s < SLOT_TIMEOUT_S else "s, not all slots by then"
+        self.add_row(f"arbiter {what}: every slot elsewhere", all_s, unit)
         if restore:
             began = now()
             await restore(arbiter)
             await self._wait_for_slots(zone, service, slots)
-            self.note(f"arbiter {what} and back: every slot", now() - began, "s")
+            self.add_row(f"arbiter {what} and back: every slot", now() - began, "s")
             await asyncio.sleep(SETTLE_S)
 
     async def _wait_for_slots(self, zone, service, slots):
         async def has_all():
-            async for vm, desk in self.find_arbiters(service):
-                if vm.startswith(zone) and desk["usable_slots"] >= slots:
+            async for vm, permit_server in self.find_arbiters(service):
+                if vm.startswith(zone) and permit_server["usable_slots"] >= slots:
                     return True
             return False
 
@@ -165,7 +173,7 @@
         return sum(upstream.slots for upstream in upstreams)
 
     async def measure_planner(self):
-        """Kill the planner; time until another holds the lease."""
+        """Kill the planner; measure the time until another holds the lease."""
         (planner,) = await self._list_planners()
         began = now()
         await self.cluster.kill(planner, "zone")
@@ -174,7 +182,7 @@
             return bool(set(await self._list_planners()) - {planner})
 
         await poll(is_taken, "another planner")
-        self.note("planner killed: lease held elsewhere", now() - began, "s")
+        self.add_row("planner killed: lease held elsewhere", now() - began, "s")
 
     async def _list_planners(self):
         return [
@@ -183,8 +191,8 @@
             if status["services"]["planner"].get("holds_lease")
         ]
 
-    async def measure_rest(self, duration_s):
-        """Count platform calls, heartbeats and processor time at rest."""
+    async def measure_idle(self, duration_s):
+        """Measure platform calls, heartbeats and CPU time while idle."""
         before, cost_before = await self._read_counts()
         await asyncio.sleep(duration_s)
         after, cost_after = await self._read_counts()
@@ -192,30 +200,35 @@
         vms = len(self.cluster.vm_by_name)
         for operation in ("get", "list", "list_vms", "watch", "put"):
             calls = sum_calls(after, operation) - sum_calls(before, operation)
-            self.note(f"platform {operation} a zone", calls / duration_s / zones, "1/s")
+            self.add_row(
+                f"platform {operation} a zone", calls / duration_s / zones, "1/s"
+            )
         watches = sum(
             len(status["services"]["replication"]["watched_kinds"])
             for status in (await self.read_zones()).values()
         )
-        self.note("watches waiting a zone", watches / zones, "")
+        self.add_row("watches waiting a zone", watches / zones, "")
         sent = sum_counter(after, "heartbeats_sent") - sum_counter(
             before, "heartbeats_sent"
         )
-        self.note("heartbeats sent a member", sent / duration_s / vms, "1/s")
-        self.note("bytes of a heartbeat", await self._measure_heartbeat(), "B")
+        self.add_row("heartbeats sent a member", sent / duration_s / vms, "1/s")
+        self.add_row("bytes of a heartbeat", await self._measure_heartbeat(), "B")
         cpu_s = sum(cost.cpu_s for cost in cost_after.values()) - sum(
             cost.cpu_s for cost in cost_before.values()
         )
-        self.note("zone daemon at rest", 100 * cpu_s / duration_s / vms, "% of a core")
+        self.add_row(
+            "zone daemon at rest", 100 * cpu_s / duration_s / vms, "% of a core"
+        )
         resident = [cost.resident_mb for cost in cost_after.values()]
-        self.note("zone daemon resident, most", max(resident), "MB")
+        self.add_row("zone daemon resident, most", max(resident), "MB")
 
     async def _read_counts(self):
         counters_by_vm = {
             vm: status["counters"] for vm, status in (await self.read_zones()).items()
         }
         cost_by_vm = {
-            vm: read_cost(self.cluster.get_pid(vm, "zone")) for vm in counters_by_vm
+            vm: read_process_usage(self.cluster.get_pid(vm, "zone"))
+            for vm in counters_by_vm
         }
         return counters_by_vm, cost_by_vm
 
@@ -237,36 +250,39 @@
             True,
             member["address"],
         )
-        return len(encode(Envelope(0, False, heartbeat))) + FRAME_HEAD_BYTES
+        return len(encode(Envelope(0, False, heartbeat))) + FRAME_HEADER_BYTES
 
 
 def now():
-    """Return the loop's clock, in seconds."""
+    """Return the event loop's time in seconds."""
     return asyncio.get_running_loop().time()
 
 
 async def poll(check, what):
-    """Wait until a check is true, looking every ``POLL_S``."""
-    end = now() + LIMIT_S
+    """Call ``check`` every ``POLL_S`` until it returns true.
+
+    Raises ``TimeoutError`` after ``TIMEOUT_S``; ``what`` names the condition.
+    """
+    end = now() + TIMEOUT_S
     while not await check():
         if now() > end:
-            raise TimeoutError(f"waited {LIMIT_S} s in vain for {what}")
+            raise TimeoutError(f"timed out after {TIMEOUT_S} s waiting for {what}")
         await asyncio.sleep(POLL_S)
 
 
 def sum_calls(counters_by_vm, operation):
-    """Return the platform calls of an operation over all daemons."""
-    mark = f"operation={operation},"
+    """Return the number of platform calls of an operation by all daemons."""
+    label = f"operation={operation},"
     return sum(
         value
         for counters in counters_by_vm.values()
         for name, value in counters.items()
-        if name.startswith("platform_calls{") and mark in name
+        if name.startswith("platform_calls{") and label in name
     )
 
 
 def sum_counter(counters_by_vm, name):
-    """Return a counter's sum over all daemons."""
+    """Return the sum of a counter over all daemons and labels."""
     return sum(
         value
         for counters in counters_by_vm.values()
@@ -279,7 +295,7 @@
     """Run every measurement and print the table."""
     text = Path(arguments.text).read_text()
     cluster = Cluster(text, make_network(arguments.network))
-    bench = Bench(cluster)
+    bench = TakeoverBenchmark(cluster)
 
     async def kill(vm):
         await cluster.kill(vm, "zone")
@@ -296,12 +312,12 @@
     async def start_again(vm):
         await cluster.wait_for_exit(vm, "zone")
         await cluster.start_role(vm, "zone")
-        await wait_until(cluster.is_ready, LIMIT_S, "the daemon to be ready")
+        await wait_until(cluster.is_ready, TIMEOUT_S, "the daemon to be ready")
 
     try:
         await cluster.start()
         await asyncio.sleep(SETTLE_S)
-        await bench.measure_rest(arguments.rest_s)
+        await bench.measure_idle(arguments.rest_s)
         await bench.measure_changes(arguments.changes)
         await bench.measure_arbiter("killed", kill, start_again)
         await bench.measure_arbiter("paused", pause, resume)
@@ -316,7 +332,7 @@
 
 
 def main(argv=None):
-    """Run the benchmark; return its exit code."""
+    """Run the benchmark; return the exit code."""
     asyncio.run(run(parse_arguments(argv)))
     return 0
 
--- a/godwitlanding/tests/benchmarks/bench_ways.py
+++ b/godwitlanding/tests/benchmarks/bench_ways.py
@@ -1,7 +1,7 @@
-"""Weighs other values and other ways for the decisions' figures.
+"""Compares alternative constants and designs of the decision modules.
 
-Each way changes one constant of a pure module and runs the load patterns
-that it matters for, with the mean over several seeds.
+Each experiment changes one constant of a pure module, runs the load patterns
+that depend on it, and prints the mean over several seeds.
 
     python -m godwitlanding.tests.benchmarks.bench_ways --way return
 """
@@ -41,10 +41,10 @@
 )
 
 
-class Way(NamedTuple):
-    """A constant, the values to weigh and the patterns to weigh them by.
+class Experiment(NamedTuple):
+    """A constant, the values to compare and the load patterns to run.
 
-    ``change(value)`` returns a context in which the value holds.
+    ``change(value)`` returns a context manager that sets the value.
     """
 
     name: str
@@ -69,90 +69,95 @@
 
 
 def _change_reluctance(value):
-    # Slow and cold slots used like any other, or only when waiting is long.
+    # Without reluctance, slow and cold slots are used like any other, instead
+    # of only when the queue wait is long.
     if value == "reluctant":
         return patch.object(intake, "PRESSED_SHARE", intake.PRESSED_SHARE)
     return patch.object(pool.Pool, "_get_eager", lambda self, upstream, now: 10**6)
 
 
-WAYS = (
-    Way(
+EXPERIMENTS = (
+    Experiment(
         "wait share of look-ups",
         (0.05, 0.1, 0.15, 0.25, 0.5),
         ("steady 70%", "burst 5x 10 s", "overload 2x"),
         _change_wait,
     ),
-    Way(
+    Experiment(
         "patience",
         (1.0, 1.5, 2.0, 3.0),
         ("steady 70%", "overload 1.2x", "overload 2x"),
         _change_patience,
     ),
-    Way(
+    Experiment(
         "return share",
         (0.1, 0.15, 0.3, 0.5, 1.0),
         ("all come back",),
         _change_constant(admission, "RETURN_SHARE"),
     ),
-    Way(
+    Experiment(
         "longest return",
         (1.0, 30.0, 60.0),
         ("all come back",),
         _change_constant(admission, "MAX_RETRY_AFTER_S"),
     ),
-    Way(
+    Experiment(
         "share of long jobs",
         (0.34, 0.5, 0.75, 0.9, 1.0),
         ("long among short",),
         _change_constant(longjobs, "LONG_SHARE"),
     ),
-    Way(
+    Experiment(
         "burst of a caller",
         (0.0, 2.0, 4.0, 8.0, 1e9),
         ("steady 70%", "hot caller 10x"),
         _change_constant(fairness, "BURST"),
     ),
-    Way(
+    Experiment(
         "slow at times the median",
         (3.0, 5.0, 8.0, 1e9),
         ("steady 70%", "slow upstream 10x", "long among short"),
         _change_constant(outlier, "SLOW_TIMES"),
     ),
-    Way(
+    Experiment(
         "slow and cold slots",
         ("reluctant", "like others"),
         ("slow upstream 10x", "cold zone, all at once", "restarted upstream"),
         _change_reluctance,
     ),
-    Way(
+    Experiment(
         "pressed share",
         (0.0, 0.15, 0.25, 0.5),
         ("slow upstream 10x", "cold zone, all at once", "crashing request"),
         _change_constant(intake, "PRESSED_SHARE"),
     ),
-    Way(
+    Experiment(
         "warm after samples",
         (10, 30, 10**9),
         ("cold zone, all at once", "crashing request"),
         _change_constant(warmup, "WARM_SAMPLES"),
     ),
 )
-DESIGN_WAYS = (
+DESIGN_EXPERIMENTS = (
     ("hedging", ("steady 70%", "slow upstream 10x", "overload 2x"), (Pooled, Hedged)),
     ("pooling", ("steady 70%", "hot caller 10x"), (Pooled, StaticShares)),
 )
 
 
 def parse_arguments(argv=None):
-    """Return the arguments of the benchmark."""
+    """Return the parsed command line."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--way", default="", help="Only ways with this word")
-    parser.add_argument("--seeds", type=int, default=5, help="How many seeds to mean")
+    parser.add_argument(
+        "--way", default="", help="Only experiments whose name contains this"
+    )
+    parser.add_argument(
+        "--seeds", type=int, default=5, help="Number of seeds to average over"
+    )
     return parser.parse_args(argv)
 
 
 def print_row(workload, value, pattern, summaries):
-    """Print the means of a row over its seeds."""
+    """Print a row with the means of the summaries."""
 
     def mean(name, digits=3):
         values = [getattr(summary, name) for summary in summaries]
@@ -179,19 +184,19 @@
     )
 
 
-def run_way(way, seeds):
-    """Print the rows of a way."""
+def run_experiment(experiment, seeds):
+    """Print a row for each workload, pattern and value of an experiment."""
     for workload in WORKLOADS:
         pattern_by_name = make_patterns(workload)
-        for name in way.patterns:
-            for value in way.values:
-                with way.change(value):
+        for name in experiment.patterns:
+            for value in experiment.values:
+                with experiment.change(value):
                     measure(workload, value, pattern_by_name[name], Pooled, seeds)
 
 
-def run_designs(way, seeds):
-    """Print the rows of a way that compares whole designs."""
-    _, patterns, designs = way
+def run_designs(experiment, seeds):
+    """Print the rows of an experiment that compares designs."""
+    _, patterns, designs = experiment
     for workload, name, design in product(WORKLOADS, patterns, designs):
         pattern = make_patterns(workload)[name]
         label = design.name.removeprefix("pooled, ")[:11]
@@ -199,7 +204,7 @@
 
 
 def measure(workload, value, pattern, design, seeds):
-    """Run a design with each seed and print the means."""
+    """Run a design with each seed and print a row with the means."""
     run = partial(run_design, design, workload, pattern)
     summaries = [summarise(run(seed), pattern) for seed in range(1, seeds + 1)]
     print_row(workload, value, pattern, summaries)
@@ -208,14 +213,14 @@
 def main(argv=None):
     """Run the benchmark."""
     arguments = parse_arguments(argv)
-    for way in WAYS:
-        if arguments.way in way.name:
-            print(f"\n{way.name}\n{ROW.format(*HEADINGS)}")
-            run_way(way, arguments.seeds)
-    for way in DESIGN_WAYS:
-        if arguments.way in way[0]:
-            print(f"\n{way[0]}\n{ROW.format(*HEADINGS)}")
-            run_designs(way, arguments.seeds)
+    for experiment in EXPERIMENTS:
+        if arguments.way in experiment.name:
+            print(f"\n{experiment.name}\n{ROW.format(*HEADINGS)}")
+            run_experiment(experiment, arguments.seeds)
+    for experiment in DESIGN_EXPERIMENTS:
+        if arguments.way in experiment[0]:
+            print(f"\n{experiment[0]}\n{ROW.format(*HEADINGS)}")
+            run_designs(experiment, arguments.seeds)
     return 0
 
 
--- a/godwitlanding/tests/benchmarks/passthrough.py
+++ b/godwitlanding/tests/benchmarks/passthrough.py
@@ -1,7 +1,7 @@
-"""The bare pass-through that the entry daemon is measured against.
+"""A minimal reverse proxy, the baseline for measuring the entry daemon.
 
-A starlette application that hands each request to the next upstream by
-aiohttp and knows nothing of slots, deadlines, retries or tickets:
+A starlette application that forwards each request by aiohttp to the next
+upstream in turn, without slots, deadlines, retries or tickets:
 ``python -m godwitlanding.tests.benchmarks.passthrough --help``.
 """
 
@@ -15,34 +15,36 @@
 from starlette.responses import StreamingResponse
 from starlette.routing import Route
 
-DROPPED = ("host", "content-length", "connection")
+DROPPED_HEADERS = ("host", "content-length", "connection")
 
 
 def make_app(upstreams):
-    """Return the application over ``upstreams``, as ``ip:port``."""
-    turns = itertools.cycle(upstreams)
+    """Return the application that forwards to ``upstreams`` (``ip:port``)."""
+    upstream_cycle = itertools.cycle(upstreams)
     sessions = []
 
     async def pass_through(request):
         if not sessions:
             connector = aiohttp.TCPConnector(limit=0)
             sessions.append(aiohttp.ClientSession(connector=connector))
-        headers = [(k, v) for k, v in request.headers.items() if k not in DROPPED]
-        url = f"http://{next(turns)}/{request.path_params['path']}"
+        headers = [
+            (k, v) for k, v in request.headers.items() if k not in DROPPED_HEADERS
+        ]
+        url = f"http://{next(upstream_cycle)}/{request.path_params['path']}"
         query = request.url.query
-        answer = await sessions[0].request(
+        response = await sessions[0].request(
             request.method,
             f"{url}?{query}" if query else url,
             headers=headers,
             data=await request.body() or None,
         )
         return StreamingResponse(
-            stream(answer), answer.status, headers=dict(answer.headers)
+            stream_body(response), response.status, headers=dict(response.headers)
         )
 
-    async def stream(answer):
-        async with answer:
-            async for chunk in answer.content.iter_any():
+    async def stream_body(response):
+        async with response:
+            async for chunk in response.content.iter_any():
                 yield chunk
 
     methods = ["GET", "POST", "PUT", "DELETE"]
@@ -52,11 +54,11 @@
 
 
 def main(argv=None):
-    """Serve until told to stop."""
+    """Run the proxy until the process is stopped."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--host", required=True)
     parser.add_argument("--port", type=int, required=True)
-    parser.add_argument("--upstreams", required=True, help="ip:port, by comma")
+    parser.add_argument("--upstreams", required=True, help="ip:port, comma-separated")
     arguments = parser.parse_args(argv)
     uvicorn.run(
         make_app(arguments.upstreams.split(",")),
--- a/godwitlanding/tests/benchmarks/sizes.py
+++ b/godwitlanding/tests/benchmarks/sizes.py
@@ -1,8 +1,8 @@
-"""Makes the state of a fleet of a chosen size, for benchmarks.
+"""Generates the state of a fleet of a given size for benchmarks.
 
-The fleet is drawn from a fixed seed: zones in regions, VMs in zones,
-services with upstreams in every zone, a plan, summaries, caller blocks.
-All addresses are loopback ones on which nothing listens.
+The fleet has zones in regions, VMs in zones, services with upstreams in every
+zone, a plan, summaries and caller blocks. The blocks are random with a fixed
+seed. All addresses are loopback addresses on which nothing listens.
 """
 
 import json
@@ -15,15 +15,15 @@
 from godwitlanding.daemons.blockstore import BLOCKS_KIND, Site, make_objects
 
 SEED = 20
-# Mean distance of 3.2 million blocks that share the addresses evenly, as
-# runs of common block lengths.
+# Common block lengths, in addresses. Their mean is the mean distance of 3.2
+# million blocks that share the address space evenly.
 _BLOCK_LENGTHS = (16, 64, 256, 256, 256, 256, 256, 512, 1024, 2048)
 _FIRST_ADDRESS = 1 << 24
 _KINDS = ("lookup", "transaction", "bulk")
 
 
 class Size(NamedTuple):
-    """The size of a fleet; the defaults are the letter's."""
+    """The size of a fleet; the defaults are the required target size."""
 
     regions: int = 25
     zones: int = 85
@@ -50,12 +50,12 @@
         return [f"service-{n}" for n in range(self.services)]
 
 
-TODAY = Size(3, 6, 2, 3, 45, 0, 0)
-LETTER = Size()
+CURRENT_SIZE = Size(3, 6, 2, 3, 45, 0, 0)
+TARGET_SIZE = Size()
 
 
 def make_config(size):
-    """Return the operators' text, as compact as JSON allows."""
+    """Return the configuration as compact JSON."""
     zones = size.get_zones()
     regions = [f"r{n:02}" for n in range(min(size.regions, size.zones))]
     upstreams = [
@@ -89,13 +89,13 @@
     return json.dumps(value, separators=(",", ":"))
 
 
-def make_plan(size, spread=2):
-    """Return a plan in which each zone's callers go to ``spread`` zones."""
+def make_plan(size, zones_per_origin=2):
+    """Return a plan that sends each zone to ``zones_per_origin`` zones."""
     zones = size.get_zones()
     weights = {
         zone: {
-            zones[(index + step) % len(zones)]: round(1 / spread, 4)
-            for step in range(spread)
+            zones[(index + step) % len(zones)]: round(1 / zones_per_origin, 4)
+            for step in range(zones_per_origin)
         }
         for index, zone in enumerate(zones)
     }
@@ -126,7 +126,7 @@
 
 
 def make_members(size, zone):
-    """Return a zone daemon's view of its zone."""
+    """Return the members of a zone as its zone daemon publishes them."""
     members = [
         {
             "vm": vm,
@@ -144,7 +144,7 @@
 
 
 def make_summary(size, sequence=1):
-    """Return a zone's summary of what it measured."""
+    """Return a zone's summary of its measured load."""
     row = {
         "slots": 96,
         "usable_slots": 96,
@@ -166,31 +166,31 @@
 
 def make_piece(size):
     """Return all caller blocks as one piece."""
-    drawn = random.Random(SEED)
+    rng = random.Random(SEED)
     starts = array(START)
     groups = array(GROUP)
     address = _FIRST_ADDRESS
     group = 1
     while len(starts) < size.blocks:
-        length = drawn.choice(_BLOCK_LENGTHS)
+        length = rng.choice(_BLOCK_LENGTHS)
         address = -(-address // length) * length
-        if drawn.random() < 0.3:
-            group = drawn.randrange(1, size.sites + 1)
+        if rng.random() < 0.3:
+            group = rng.randrange(1, size.sites + 1)
         starts.append(address)
         groups.append(group)
-        address += length * drawn.choice((1, 1, 1, 2))
+        address += length * rng.choice((1, 1, 1, 2))
     return Piece(starts, groups)
 
 
 def make_block_objects(size):
-    """Return the platform's objects of the caller blocks by name."""
+    """Return the platform objects of the caller blocks by name."""
     zones = size.get_zones()
     sites = [Site(f"site-{n}", zones[n % len(zones)]) for n in range(size.sites)]
     return make_objects(split_piece(make_piece(size)), sites)
 
 
 def make_states(size, zone, with_blocks=True):
-    """Return all that a steer process in ``zone`` is pushed."""
+    """Return all states that a steer process in ``zone`` receives."""
     bodies = [
         ("config", "main", make_config(size).encode()),
         ("plan", "main", _encode(make_plan(size))),
--- a/godwitlanding/tests/benchmarks/zones.py
+++ b/godwitlanding/tests/benchmarks/zones.py
@@ -1,7 +1,7 @@
-"""Zone daemons of some zones in one process, and a count of what they send.
+"""Runs the zone daemons of several zones in one process for benchmarks.
 
-For benchmarks: the real services of members, replication, peers and
-listener over loopback, around a platform in memory.
+Uses the real services for members, replication, peers and listener over
+loopback with an in-memory platform, and counts the messages that are sent.
 """
 
 import asyncio
@@ -21,10 +21,10 @@
 
 PORT = 17301
 SETTLE_S = 4.0
-_LIMIT_S = 60
+_TIMEOUT_S = 60
 
 
-class Traffic:
+class TrafficCounter:
     """Counts messages and bytes by type as they are encoded."""
 
     def __init__(self):
@@ -40,7 +40,7 @@
         wire.encode = self._encode
 
     def clear(self):
-        """Start counting afresh."""
+        """Reset all counts."""
         self.messages.clear()
         self.bytes.clear()
 
@@ -52,15 +52,15 @@
         return data
 
 
-class Absent(Service):
-    """Stands where a service is needed by name only."""
+class PlaceholderService(Service):
+    """A service without function, for dependencies by name."""
 
     def __init__(self, name):
         self.name = name
 
 
 class Fleet:
-    """Zone daemons of some zones in this process, around one platform."""
+    """Zone daemons of several zones in this process with one platform."""
 
     def __init__(self, zones, members):
         self.store = FakeStore()
@@ -74,9 +74,9 @@
                 rows.append((f"z{zone:02}-v{member:02}", address, f"z{zone:02}"))
         self.store.set_vms(*rows)
         for vm, address, zone in rows:
-            self._add(vm, address, zone)
+            self._add_daemon(vm, address, zone)
 
-    def _add(self, vm, address, zone):
+    def _add_daemon(self, vm, address, zone):
         text = json.dumps(
             {
                 "vm": vm,
@@ -93,8 +93,8 @@
             Configuration(context),
             Members(context),
             Replication(context),
-            Absent("lending"),
-            Absent("arbitration"),
+            PlaceholderService("lending"),
+            PlaceholderService("arbitration"),
             Listener(context),
         ]
         self.contexts.append(context)
@@ -110,23 +110,23 @@
         await asyncio.gather(*(kernel.stop() for kernel in self._kernels))
 
     async def put(self, kind, name, body):
-        """Write an object whatever its version; return the new version."""
-        held = self.store.objects.get(kind, name)
-        expected = held.unwrap().version if held.is_ok() else 0
+        """Overwrite an object at any version; return the new version."""
+        current = self.store.objects.get(kind, name)
+        expected = current.unwrap().version if current.is_ok() else 0
         return (await self.store.put(kind, name, body, expected)).unwrap()
 
-    async def wait_for(self, wanted):
-        """Wait until all hold the versions ``{(kind, name): version}``."""
+    async def wait_for(self, version_by_key):
+        """Wait until all daemons have ``{(kind, name): version}`` or later."""
         waiting = set()
         done = asyncio.Event()
 
-        def check(context):
+        def has_versions(context):
             get = context.replica.get_version
-            return all(get(*key) >= version for key, version in wanted.items())
+            return all(get(*key) >= version for key, version in version_by_key.items())
 
-        def follow(context, number):
+        def subscribe(context, number):
             def listen(state):
-                if number in waiting and check(context):
+                if number in waiting and has_versions(context):
                     waiting.discard(number)
                     if not waiting:
                         done.set()
@@ -134,8 +134,8 @@
             context.replica.listen(listen)
 
         for number, context in enumerate(self.contexts):
-            if not check(context):
+            if not has_versions(context):
                 waiting.add(number)
-                follow(context, number)
+                subscribe(context, number)
         if waiting:
-            await asyncio.wait_for(done.wait(), _LIMIT_S)
+            await asyncio.wait_for(done.wait(), _TIMEOUT_S)
