--- a/godwitlanding/base/config.py
+++ b/godwitlanding/base/config.py
@@ -29,7 +29,7 @@
 PRIORITY_BY_KIND = {KIND_TRANSACTION: 0, KIND_LOOKUP: 1, KIND_BULK: 2}
 
 
-class Upstream(NamedTuple):
+class UpstreamConfig(NamedTuple):
     """An upstream server with licensed slots; ``address`` is ``ip:port``."""
 
     id: str
@@ -48,7 +48,7 @@
     work_s: float
     slow_start_s: float
     depends_on: tuple[str, ...]
-    upstream_by_id: dict[str, Upstream]
+    upstream_by_id: dict[str, UpstreamConfig]
 
     @property
     def priority(self):
@@ -259,7 +259,7 @@
 
 def _build_service(value):
     upstreams = [
-        Upstream(
+        UpstreamConfig(
             u["id"], u["address"], u["availability_zone"], u["slots"], value["name"]
         )
         for u in value["upstreams"]
--- a/godwitlanding/daemons/arbiter.py
+++ b/godwitlanding/daemons/arbiter.py
@@ -23,7 +23,7 @@
 from godwitlanding.daemons.intake import Intake
 from godwitlanding.daemons.permits import OpenPermits, OutcomeRecorder, Permit
 from godwitlanding.daemons.pool import Pool
-from godwitlanding.decisions.admission import Admission
+from godwitlanding.decisions.admission import QueueAdmission
 from godwitlanding.decisions.longjobs import LongJobs
 from godwitlanding.decisions.outlier import OutlierDetector
 from godwitlanding.decisions.poison import PoisonLedger
@@ -58,7 +58,7 @@
         """Create an arbiter whose permit ids start at ``first_permit_id``."""
         self.service = service
         self.poison = poison or PoisonLedger()
-        self.admission = Admission(work_s)
+        self.admission = QueueAdmission(work_s)
         self.spill = SpillAllowances()
         self.long_jobs = LongJobs(work_s)
         self.outliers = OutlierDetector()
--- a/godwitlanding/daemons/intake.py
+++ b/godwitlanding/daemons/intake.py
@@ -11,7 +11,7 @@
 from godwitlanding.daemons.decision import Decision, Spill
 from godwitlanding.decisions.admission import PATIENCE
 from godwitlanding.decisions.fairness import bound_cost
-from godwitlanding.decisions.queue import AskQueue
+from godwitlanding.decisions.queue import RequestQueue
 
 # Assumed number of slots until the first upstream is lent.
 DEFAULT_SLOTS = 3
@@ -28,7 +28,7 @@
     """Queue, wait limits and spill of one arbiter."""
 
     def __init__(self, pool, admission, long_jobs, spill):
-        self.queue = AskQueue()
+        self.queue = RequestQueue()
         self._pool = pool
         self._admission = admission
         self._long_jobs = long_jobs
--- a/godwitlanding/decisions/access.py
+++ b/godwitlanding/decisions/access.py
@@ -18,7 +18,7 @@
 _SCHEME = b"bearer"
 
 
-class Verdict(Enum):
+class AccessDecision(Enum):
     """Whether the key of a request grants access."""
 
     GRANTED = "granted"
@@ -31,12 +31,12 @@
     ``workspace`` is ``None`` for anonymous callers.
     """
 
-    verdict: Verdict
+    decision: AccessDecision
     workspace: Workspace | None
 
 
-_ANONYMOUS = Access(Verdict.GRANTED, None)
-_UNKNOWN = Access(Verdict.UNKNOWN_KEY, None)
+_ANONYMOUS = Access(AccessDecision.GRANTED, None)
+_UNKNOWN = Access(AccessDecision.UNKNOWN_KEY, None)
 
 
 def read_key(values):
@@ -61,7 +61,7 @@
         return _ANONYMOUS
     workspace = config.workspace_by_key.get(key)
     if workspace is not None:
-        return Access(Verdict.GRANTED, workspace)
+        return Access(AccessDecision.GRANTED, workspace)
     return _ANONYMOUS if route.allow_anonymous else _UNKNOWN
 
 
--- a/godwitlanding/decisions/admission.py
+++ b/godwitlanding/decisions/admission.py
@@ -64,7 +64,7 @@
         return self.mean_s + DEVIATIONS * self.deviation_s
 
 
-class Admission:
+class QueueAdmission:
     """Estimates queueing times and assigns Retry-After times."""
 
     def __init__(self, work_s):
--- a/godwitlanding/decisions/health.py
+++ b/godwitlanding/decisions/health.py
@@ -29,7 +29,7 @@
 SIGNAL_HOLD_S = 10.0
 
 
-class Verdict(NamedTuple):
+class HealthVerdict(NamedTuple):
     """Whether an upstream may get new requests, and if not, why."""
 
     usable: bool
@@ -131,10 +131,10 @@
 def _make_verdict(record, probes_trusted):
     why = _get_leaving_reason(record)
     if why:
-        return Verdict(False, True, why)
+        return HealthVerdict(False, True, why)
     if probes_trusted and _is_failing(record):
-        return Verdict(False, False, "failed probes")
-    return Verdict(True, False, "")
+        return HealthVerdict(False, False, "failed probes")
+    return HealthVerdict(True, False, "")
 
 
 def _get_leaving_reason(record):
--- a/godwitlanding/decisions/objectmap.py
+++ b/godwitlanding/decisions/objectmap.py
@@ -59,7 +59,7 @@
         self._announced_at_by_entry[cache_entry] = now
         return True
 
-    def note_answer(self, cache_entry):
+    def note_response(self, cache_entry):
         """Record that the upstream answered this VM about the object."""
         if self.get_depth(*cache_entry) is not None:
             self._answered.add(cache_entry)
--- a/godwitlanding/decisions/queue.py
+++ b/godwitlanding/decisions/queue.py
@@ -53,7 +53,7 @@
         return max(lane[-1] for lane in (self.short, self.long) if lane)
 
 
-class AskQueue:
+class RequestQueue:
     """Requests that wait for a slot, in service order."""
 
     def __init__(self):
--- a/godwitlanding/decisions/ratelimit.py
+++ b/godwitlanding/decisions/ratelimit.py
@@ -163,7 +163,7 @@
             limit.sent += 1
             limit.changed_at = now
 
-    def note_answer(self, upstream, region, per_s, now):
+    def note_response(self, upstream, region, per_s, now):
         """Take the limit in an upstream's answer, ``None`` for no limit.
 
         ``region`` is the upstream's. Returns whether the limit has changed.
--- a/godwitlanding/decisions/reachability.py
+++ b/godwitlanding/decisions/reachability.py
@@ -44,7 +44,7 @@
         """Record a VM's message with the number of VMs that it can reach."""
         self._last_message_by_vm[vm] = _LastMessage(now, carries, reachable_vms)
 
-    def count_heard(self, now):
+    def count_reachable(self, now):
         """Return the number of reachable VMs that is reported to others."""
         messages = self._last_message_by_vm.values()
         return 1 + sum(
--- a/godwitlanding/decisions/removalguard.py
+++ b/godwitlanding/decisions/removalguard.py
@@ -51,7 +51,7 @@
         if self._store_lost_at is None:
             self._store_lost_at = now
 
-    def note_store_answer(self, now):
+    def note_store_response(self, now):
         """Record that the store answers; after an outage hold removals."""
         was_lost = self._store_lost_at is not None
         if self._expires and was_lost and now - self._store_lost_at >= MIN_OUTAGE_S:
--- a/godwitlanding/decisions/storereaders.py
+++ b/godwitlanding/decisions/storereaders.py
@@ -43,7 +43,7 @@
 START_WAIT_S = 0.15
 
 
-class Neighbour(NamedTuple):
+class StoreAccess(NamedTuple):
     """What a VM of the region reports about its access to the store."""
 
     vm: str
@@ -63,7 +63,7 @@
     return rank("reader", high_capacity) + rank("reader", names - high_capacity)
 
 
-def should_read(own, order, neighbour_by_vm, nobody_for_s):
+def should_read(own, order, access_by_vm, nobody_for_s):
     """Tell whether the VM ``own`` (a ``Neighbour``) has to read the store.
 
     ``nobody_for_s`` is the time for which no other VM of the region has read.
@@ -74,20 +74,20 @@
         # The first VMs in the order keep trying, so that the store's return is
         # noticed.
         return order.index(own.vm) < READERS
-    available = [vm for vm in order if not _has_failed(vm, own, neighbour_by_vm)]
+    available = [vm for vm in order if not _has_failed(vm, own, access_by_vm)]
     position = available.index(own.vm)
     if position < READERS:
         return True
     return nobody_for_s > NO_READER_S + NO_READER_STEP_S * position
 
 
-def may_stop_reading(own, order, neighbour_by_vm):
+def may_stop_reading(own, order, access_by_vm):
     """Tell whether enough others read for a VM that does not have to."""
-    readers = [vm for vm in order if vm != own.vm and _reads(vm, neighbour_by_vm)]
+    readers = [vm for vm in order if vm != own.vm and _reads(vm, access_by_vm)]
     return len(readers) >= READERS
 
 
-def choose_source(order, neighbour_by_vm, current, remote_sources):
+def choose_source(order, access_by_vm, current, remote_sources):
     """Return the VM to get the store's state from, empty for none.
 
     ``current`` is the present source: it is kept while it reads. Otherwise the
@@ -96,25 +96,25 @@
     just started and cannot reach the store takes the state that others still
     have.
     """
-    if _reads(current, neighbour_by_vm):
+    if _reads(current, access_by_vm):
         return current
-    readers = [vm for vm in order if _reads(vm, neighbour_by_vm)]
+    readers = [vm for vm in order if _reads(vm, access_by_vm)]
     if readers:
         return readers[0]
     if current in remote_sources:
         return current
     if remote_sources:
         return remote_sources[0]
-    if current in neighbour_by_vm:
+    if current in access_by_vm:
         return current
-    return next((vm for vm in order if vm in neighbour_by_vm), "")
+    return next((vm for vm in order if vm in access_by_vm), "")
 
 
-def _reads(vm, neighbour_by_vm):
-    return vm in neighbour_by_vm and neighbour_by_vm[vm].reads
+def _reads(vm, access_by_vm):
+    return vm in access_by_vm and access_by_vm[vm].reads
 
 
-def _has_failed(vm, own, neighbour_by_vm):
+def _has_failed(vm, own, access_by_vm):
     if vm == own.vm:
         return own.failed
-    return vm in neighbour_by_vm and neighbour_by_vm[vm].failed
+    return vm in access_by_vm and access_by_vm[vm].failed
--- a/godwitlanding/decisions/worktime.py
+++ b/godwitlanding/decisions/worktime.py
@@ -67,7 +67,7 @@
         self._cold_share_by_service = {}
         self._objectless_share_by_service = {}
 
-    def note_answer(self, service, upstream, work_s, warmth, waited):
+    def note_response(self, service, upstream, work_s, warmth, waited):
         """Record an answer's time; ``waited``: it queued for a slot."""
         self._update_failures(service, upstream, 0.0)
         if warmth is Warmth.UNSURE:
--- a/godwitlanding/gateway/admission.py
+++ b/godwitlanding/gateway/admission.py
@@ -17,7 +17,7 @@
 from godwitlanding.base.codes import Code
 from godwitlanding.base.kernel import Service
 from godwitlanding.decisions.access import (
-    Verdict,
+    AccessDecision,
     find_access,
     read_key,
 )
@@ -93,7 +93,7 @@
             return Err(self._deny_unknown(Code.UNKNOWN_SERVICE, 404))
         key = read_key(exchange.get_headers(self._names.authorization))
         access = find_access(config, route, key)
-        if access.verdict is Verdict.UNKNOWN_KEY:
+        if access.decision is AccessDecision.UNKNOWN_KEY:
             key_digest = make_key_digest(key)
             self._log_unknown("admission:unknown_key", request_id, key=key_digest)
             return Err(self._deny_unknown(Code.UNKNOWN_KEY, 401))
@@ -109,7 +109,7 @@
     def is_still_authorized(self, request):
         """Return whether the request's API key has not been revoked since."""
         access = find_access(self._registry.config, request.route, request.api_key)
-        return access.verdict is Verdict.GRANTED
+        return access.decision is AccessDecision.GRANTED
 
     def _deny_unknown(self, code, status):
         if self._freshness.is_fresh():
--- a/godwitlanding/gateway/learning.py
+++ b/godwitlanding/gateway/learning.py
@@ -58,16 +58,16 @@
         if request.key and choice.depth is None and self._is_listed(choice):
             self._object_map.drop(self._make_cache_entry(request, choice.upstream.id))
 
-    def note_answer(self, request, choice, work_s):
+    def note_response(self, request, choice, work_s):
         """Record that an upstream answered after ``work_s`` seconds."""
         was_queued = choice.occupied >= choice.upstream.slots
         self._record_cache_hit(request.service, choice, work_s, was_queued)
-        self._worktimes.note_answer(
+        self._worktimes.note_response(
             request.service, choice.upstream.id, work_s, choice.warmth, was_queued
         )
         if request.key and self._is_listed(choice):
             cache_entry = self._make_cache_entry(request, choice.upstream.id)
-            self._object_map.note_answer(cache_entry)
+            self._object_map.note_response(cache_entry)
 
     def forget(self, upstream_id):
         """Drop the state of an upstream that is gone or has restarted."""
--- a/godwitlanding/gateway/limitgossip.py
+++ b/godwitlanding/gateway/limitgossip.py
@@ -34,14 +34,14 @@
         """Set the list of regions."""
         self._limits.set_regions(regions)
 
-    def note_answer(self, upstream, limit_per_s):
+    def note_response(self, upstream, limit_per_s):
         """Record a response's rate limit; ``None`` if it has none."""
         number = self._registry.number_by_id.get(upstream.id)
         if number is None:
             return
         region = self._registry.get_region(upstream.availability_zone)
         former = self._limits.get(number)
-        if not self._limits.note_answer(number, region, limit_per_s, _now()):
+        if not self._limits.note_response(number, region, limit_per_s, _now()):
             return
         self._log(upstream.id, limit_per_s, former, "")
         if region != self._region:
--- a/godwitlanding/gateway/mirror.py
+++ b/godwitlanding/gateway/mirror.py
@@ -377,7 +377,7 @@
     def _note_success(self):
         now = _now()
         if self._guard:
-            self._guard.note_store_answer(now)
+            self._guard.note_store_response(now)
         if self.is_lost:
             log_message(
                 "mirror:regained", kind=self.kind, after_s=now - self._answered_at
--- a/godwitlanding/gateway/sourceselector.py
+++ b/godwitlanding/gateway/sourceselector.py
@@ -15,7 +15,7 @@
     BEHIND_S,
     FAILED_BACKOFF_S,
     START_WAIT_S,
-    Neighbour,
+    StoreAccess,
     choose_source,
     may_stop_reading,
     rank_readers,
@@ -133,14 +133,14 @@
         now = _now()
         if self.is_reading() or self._follows_reader():
             self._current_at = now
-        neighbour_by_vm = self._get_neighbours()
-        if any(neighbour.reads for neighbour in neighbour_by_vm.values()):
+        access_by_vm = self._get_neighbours()
+        if any(neighbour.reads for neighbour in access_by_vm.values()):
             self._reader_seen_at = now
-        region_peers = [self._fleet.peer_by_vm[vm] for vm in neighbour_by_vm]
+        region_peers = [self._fleet.peer_by_vm[vm] for vm in access_by_vm]
         order = rank_readers([self._own, *region_peers])
         if self._may_decide_reading:
-            self._decide_reading(order, neighbour_by_vm, now)
-        self._decide_source(order, neighbour_by_vm, now)
+            self._decide_reading(order, access_by_vm, now)
+        self._decide_source(order, access_by_vm, now)
 
     def _follows_reader(self):
         peers = self._fleet.peer_by_vm.values()
@@ -150,21 +150,21 @@
 
     def _get_neighbours(self):
         return {
-            peer.vm: Neighbour(peer.vm, peer.reads, peer.failed)
+            peer.vm: StoreAccess(peer.vm, peer.reads, peer.failed)
             for peer in self._fleet.peer_by_vm.values()
             if peer.region == self._own.region and not peer.leaving
         }
 
-    def _decide_reading(self, order, neighbour_by_vm, now):
+    def _decide_reading(self, order, access_by_vm, now):
         if self._is_lost():
             self._failed_until = now + FAILED_BACKOFF_S
-        own = Neighbour(self._own.vm, self.is_reading(), self._has_failed())
+        own = StoreAccess(self._own.vm, self.is_reading(), self._has_failed())
         nobody_for_s = now - self._reader_seen_at
-        should_follow = should_read(own, order, neighbour_by_vm, nobody_for_s)
+        should_follow = should_read(own, order, access_by_vm, nobody_for_s)
         is_following = self._mirrors[0].is_following()
         if should_follow != is_following:
             if not should_follow and not own.failed:
-                if not may_stop_reading(own, order, neighbour_by_vm):
+                if not may_stop_reading(own, order, access_by_vm):
                     return
             log_message(
                 "reader:reads" if should_follow else "reader:rests",
@@ -174,15 +174,15 @@
                 failed=own.failed,
             )
         if should_follow:
-            self._follow_store(own, neighbour_by_vm)
+            self._follow_store(own, access_by_vm)
         else:
             for mirror in self._mirrors:
                 mirror.stop_following()
 
-    def _follow_store(self, own, neighbour_by_vm):
+    def _follow_store(self, own, access_by_vm):
         # VMs whose calls failed show that the store was unreachable. The loss
         # of a reader VM alone does not.
-        neighbours = [own, *neighbour_by_vm.values()]
+        neighbours = [own, *access_by_vm.values()]
         was_unreachable = any(neighbour.failed for neighbour in neighbours)
         lost_at = self._reader_seen_at if was_unreachable else None
         first, *others = self._mirrors
@@ -196,7 +196,7 @@
             elif first.is_lost:
                 mirror.stop_following()
 
-    def _decide_source(self, order, neighbour_by_vm, now):
+    def _decide_source(self, order, access_by_vm, now):
         newer = self._find_newer()
         if not newer:
             self._behind_since = None
@@ -212,12 +212,12 @@
         if self.is_reading():
             self._feed.follow("")
         else:
-            self._follow_neighbour(order, neighbour_by_vm, now)
+            self._follow_neighbour(order, access_by_vm, now)
 
-    def _follow_neighbour(self, order, neighbour_by_vm, now):
+    def _follow_neighbour(self, order, access_by_vm, now):
         trusted = {
             vm: neighbour
-            for vm, neighbour in neighbour_by_vm.items()
+            for vm, neighbour in access_by_vm.items()
             if self._is_trusted(self._fleet.peer_by_vm[vm].host, now)
         }
         digests = self._digests.digest_by_region.values()
--- a/godwitlanding/gateway/upstreamclient.py
+++ b/godwitlanding/gateway/upstreamclient.py
@@ -149,7 +149,7 @@
             self._record_report(upstream, response, outcome, now)
         if outcome is Outcome.ANSWERED:
             work_s = max(0.001, took_s - choice.distance_s)
-            self._chooser.learning.note_answer(request, choice, work_s)
+            self._chooser.learning.note_response(request, choice, work_s)
             self._poison.note_success(request.fingerprint, now)
         elif outcome is Outcome.MOVED:
             self._eject_moved(upstream)
@@ -167,7 +167,7 @@
         if report.leaving:
             self._registry.note_leaving(upstream.id)
         if report.limit_per_s is not None or outcome in _EXECUTED:
-            self._limits.note_answer(upstream, report.limit_per_s)
+            self._limits.note_response(upstream, report.limit_per_s)
 
     def _record_pause(self, upstream, pause_s, now):
         self._chooser.availability.pauses.note(upstream.id, pause_s, now)
--- a/godwitlanding/tests/decisions/ratelimit_simulation.py
+++ b/godwitlanding/tests/decisions/ratelimit_simulation.py
@@ -81,7 +81,7 @@
             self.schedule(now + SERVICE_TIME_S, self._answer, vm)
 
     def _answer(self, now, vm):
-        self._limits_by_vm[vm].note_answer(UPSTREAM, "a", self.limit_per_s, now)
+        self._limits_by_vm[vm].note_response(UPSTREAM, "a", self.limit_per_s, now)
 
     def _send_counts(self, now, vm, incarnation):
         if self._incarnation_by_vm[vm] != incarnation:
--- a/godwitlanding/tests/decisions/test_access.py
+++ b/godwitlanding/tests/decisions/test_access.py
@@ -3,7 +3,7 @@
 import pytest
 
 from godwitlanding.decisions.access import (
-    Verdict,
+    AccessDecision,
     find_access,
     intersect_regions,
     read_key,
@@ -61,23 +61,39 @@
 @pytest.mark.parametrize(
     ("workspace_by_key", "anonymous", "key", "verdict", "workspace"),
     [
-        pytest.param(None, False, b"x", Verdict.GRANTED, None, id="no workspaces"),
-        pytest.param({b"k": OFFICE}, False, b"k", Verdict.GRANTED, OFFICE, id="known"),
         pytest.param(
-            {b"k": OFFICE}, False, b"x", Verdict.UNKNOWN_KEY, None, id="unknown"
+            None, False, b"x", AccessDecision.GRANTED, None, id="no workspaces"
         ),
         pytest.param(
-            {b"k": OFFICE}, False, b"", Verdict.UNKNOWN_KEY, None, id="without a key"
+            {b"k": OFFICE}, False, b"k", AccessDecision.GRANTED, OFFICE, id="known"
         ),
-        pytest.param({}, False, b"x", Verdict.UNKNOWN_KEY, None, id="all keys removed"),
         pytest.param(
-            {b"k": OFFICE}, True, b"x", Verdict.GRANTED, None, id="anonymous route"
+            {b"k": OFFICE}, False, b"x", AccessDecision.UNKNOWN_KEY, None, id="unknown"
+        ),
+        pytest.param(
+            {b"k": OFFICE},
+            False,
+            b"",
+            AccessDecision.UNKNOWN_KEY,
+            None,
+            id="without a key",
+        ),
+        pytest.param(
+            {}, False, b"x", AccessDecision.UNKNOWN_KEY, None, id="all keys removed"
+        ),
+        pytest.param(
+            {b"k": OFFICE},
+            True,
+            b"x",
+            AccessDecision.GRANTED,
+            None,
+            id="anonymous route",
         ),
         pytest.param(
             {b"k": OFFICE},
             True,
             b"k",
-            Verdict.GRANTED,
+            AccessDecision.GRANTED,
             OFFICE,
             id="known on an anonymous route",
         ),
--- a/godwitlanding/tests/decisions/test_ratelimit.py
+++ b/godwitlanding/tests/decisions/test_ratelimit.py
@@ -95,7 +95,7 @@
     # Guards against an upstream that is avoided forever once no VM sends to
     # it.
     limits = make_limits()
-    assert limits.note_answer(UPSTREAM, "a", 1.0, 0.0)
+    assert limits.note_response(UPSTREAM, "a", 1.0, 0.0)
     limits.update(1.0, True, LIMIT_TTL_S)
     assert limits.get(UPSTREAM) == 1.0
     limits.update(1.0, True, LIMIT_TTL_S + 0.1)
@@ -105,7 +105,7 @@
 
 def test_limit_of_zero_allows_an_occasional_request():
     limits = make_limits()
-    limits.note_answer(UPSTREAM, "a", 0.0, 0.0)
+    limits.note_response(UPSTREAM, "a", 0.0, 0.0)
     limits.update(1.0, True, 0.1)
     assert not limits.may_send(UPSTREAM, 5.0)
     assert limits.may_send(UPSTREAM, 10.5)
@@ -113,7 +113,7 @@
 
 def test_vm_without_callers_sends_nothing_to_limited_upstreams():
     limits = make_limits()
-    limits.note_answer(UPSTREAM, "a", 5.0, 0.0)
+    limits.note_response(UPSTREAM, "a", 5.0, 0.0)
     limits.update(1.0, False, 1.0)
     assert not limits.may_send(UPSTREAM, 2.0)
     limits.update(1.0, True, 2.0)
@@ -136,7 +136,7 @@
 
 def test_other_regions_drop_a_removed_limit():
     limits = make_limits("b")
-    limits.note_answer(UPSTREAM, "a", 2.0, 0.0)
+    limits.note_response(UPSTREAM, "a", 2.0, 0.0)
     limits.receive_region_limits("a", (), 0.5)
     assert not limits.may_send(UPSTREAM, 0.5)
     limits.receive_region_limits("a", (), REMOTE_SETTLE_S + 0.1)
@@ -147,7 +147,7 @@
     # Guards against a limit that never expires because VMs keep reporting it
     # to each other.
     limits = make_limits()
-    limits.note_answer(UPSTREAM, "a", 2.0, 10.0)
+    limits.note_response(UPSTREAM, "a", 2.0, 10.0)
     assert limits.receive("vm", 1, LimitRow(UPSTREAM, None, 0.1, 0), "a", 10.5)
     assert limits.get(UPSTREAM) is None
     assert not limits.receive("vm", 1, LimitRow(UPSTREAM, 2.0, 0.6, 0), "a", 10.7)
@@ -161,7 +161,7 @@
 
 def test_counts_of_other_vms_are_applied_once():
     limits = make_limits()
-    limits.note_answer(UPSTREAM, "a", 5.0, 0.0)
+    limits.note_response(UPSTREAM, "a", 5.0, 0.0)
     # What another VM sent before this VM knew the limit does not count.
     limits.receive("old", 1, LimitRow(UPSTREAM, 5.0, 0.1, 100), "a", 0.5)
     limits.update(1.0, True, 3.0)
@@ -180,7 +180,7 @@
 def test_limit_is_scarce_under_demand(limit_per_s, sent, scarce):
     limits = make_limits()
     assert not limits.is_scarce(UPSTREAM, 0.0)
-    limits.note_answer(UPSTREAM, "a", limit_per_s, 0.0)
+    limits.note_response(UPSTREAM, "a", limit_per_s, 0.0)
     limits.update(1.0, True, 2.0)
     for _ in range(sent):
         limits.note_sent(UPSTREAM, 2.0)
--- a/godwitlanding/tests/decisions/test_reachability.py
+++ b/godwitlanding/tests/decisions/test_reachability.py
@@ -68,7 +68,7 @@
             now = 0.0
             while now < after_s:
                 now += 0.4
-                reachable = reachability.count_heard(now)
+                reachable = reachability.count_reachable(now)
                 note_all(reachability, members[1:], now, reachable=reachable)
                 share = reachability.get_share(others, True, now)
             total += share
--- a/godwitlanding/tests/decisions/test_removalguard.py
+++ b/godwitlanding/tests/decisions/test_removalguard.py
@@ -26,7 +26,7 @@
     guard = RemovalGuard(expires)
     guard.note_store_lost(10.0)
     now = 10.0 + outage_s
-    guard.note_store_answer(now)
+    guard.note_store_response(now)
     if is_restored:
         guard.note_restored(now)
     assert guard.remove("a", now) is not is_held
--- a/godwitlanding/tests/decisions/test_storereaders.py
+++ b/godwitlanding/tests/decisions/test_storereaders.py
@@ -7,7 +7,7 @@
     NO_READER_S,
     NO_READER_STEP_S,
     READERS,
-    Neighbour,
+    StoreAccess,
     choose_source,
     may_stop_reading,
     rank_readers,
@@ -19,8 +19,10 @@
 ORDER = rank_readers([make_peer(vm) for vm in VMS])
 
 
-def make_neighbours(own, readers=(), failed=()):
-    return {vm: Neighbour(vm, vm in readers, vm in failed) for vm in ORDER if vm != own}
+def make_store_access(own, readers=(), failed=()):
+    return {
+        vm: StoreAccess(vm, vm in readers, vm in failed) for vm in ORDER if vm != own
+    }
 
 
 def find_readers(readers=(), failed=(), nobody_for_s=0.0):
@@ -29,9 +31,9 @@
         vm
         for vm in ORDER
         if should_read(
-            Neighbour(vm, vm in readers, vm in failed),
+            StoreAccess(vm, vm in readers, vm in failed),
             ORDER,
-            make_neighbours(vm, readers, failed),
+            make_store_access(vm, readers, failed),
             nobody_for_s,
         )
     ]
@@ -79,7 +81,7 @@
 
 
 def test_unlisted_vm_reads_itself():
-    own = Neighbour("vm-0", False, False)
+    own = StoreAccess("vm-0", False, False)
     assert should_read(own, ["vm-0"], {}, 0.0)
 
 
@@ -87,8 +89,8 @@
 def test_reader_stops_when_enough_others_read(others, may_stop):
     # A VM that read while the first ones were unavailable stops only when they
     # read again, or the other VMs would have no source in between.
-    own = Neighbour(ORDER[3], True, False)
-    neighbours = make_neighbours(own.vm, readers=ORDER[:others])
+    own = StoreAccess(ORDER[3], True, False)
+    neighbours = make_store_access(own.vm, readers=ORDER[:others])
     assert may_stop_reading(own, ORDER, neighbours) is may_stop
 
 
@@ -109,7 +111,7 @@
 @pytest.mark.parametrize(("current", "readers", "remote_sources", "expected"), SOURCES)
 def test_choose_source(current, readers, remote_sources, expected):
     own = ORDER[-1]
-    neighbours = make_neighbours(own, readers=readers)
+    neighbours = make_store_access(own, readers=readers)
     assert choose_source(ORDER, neighbours, current, remote_sources) == expected
 
 
--- a/godwitlanding/tests/decisions/test_worktime.py
+++ b/godwitlanding/tests/decisions/test_worktime.py
@@ -9,8 +9,8 @@
     worktimes = WorkTimes()
     for upstream in ("a", "b", "c"):
         for _ in range(20):
-            worktimes.note_answer("s", upstream, 0.1, Warmth.WARM, False)
-        worktimes.note_answer("s", upstream, 0.36, Warmth.COLD, False)
+            worktimes.note_response("s", upstream, 0.1, Warmth.WARM, False)
+        worktimes.note_response("s", upstream, 0.36, Warmth.COLD, False)
     return worktimes
 
 
@@ -20,7 +20,7 @@
     # that it is healthy. Its callers would wait though others are faster.
     worktimes = make_worktimes()
     for _ in range(answers):
-        worktimes.note_answer("s", "a", 0.1 * times, Warmth.WARM, False)
+        worktimes.note_response("s", "a", 0.1 * times, Warmth.WARM, False)
     assert worktimes.get_factor("a") > 2
     assert worktimes.get_factor("b") < 1.2
     assert worktimes.get_warm_s("s") < 0.2
@@ -29,14 +29,14 @@
 def test_unsure_requests_do_not_mark_an_upstream_slow():
     worktimes = make_worktimes()
     for _ in range(10):
-        worktimes.note_answer("s", "a", 0.36, Warmth.UNSURE, False)
+        worktimes.note_response("s", "a", 0.36, Warmth.UNSURE, False)
     assert worktimes.get_factor("a") == pytest.approx(1.0, abs=0.1)
 
 
 def test_queueing_does_not_mark_an_upstream_slow():
     worktimes = make_worktimes()
     for _ in range(10):
-        worktimes.note_answer("s", "a", 0.5, Warmth.WARM, True)
+        worktimes.note_response("s", "a", 0.5, Warmth.WARM, True)
     assert worktimes.get_factor("a") == pytest.approx(1.0, abs=0.1)
 
 
@@ -68,7 +68,7 @@
     for _ in range(60):
         for upstream in ("a", "b", "c"):
             worktimes.note_failure("s", upstream)
-            worktimes.note_answer("s", upstream, 0.1, Warmth.WARM, False)
+            worktimes.note_response("s", upstream, 0.1, Warmth.WARM, False)
             worktimes.note_failure("s", upstream)
     for upstream in ("a", "b", "c"):
         assert worktimes.get_failure_share(upstream) > 0.5
@@ -82,7 +82,7 @@
     before_s = worktimes.get_mean_s("s")
     for number in range(100):
         warmth = Warmth.WARM if number % 4 else Warmth.COLD
-        worktimes.note_answer("s", "a", 0.1 if number % 4 else 0.4, warmth, False)
+        worktimes.note_response("s", "a", 0.1 if number % 4 else 0.4, warmth, False)
     assert before_s < 0.13
     assert worktimes.get_mean_s("s") == pytest.approx(0.175, abs=0.03)
 
@@ -93,7 +93,7 @@
     worktimes = make_worktimes()
     cold_s = worktimes.get_cold_s("s")
     for _ in range(50):
-        worktimes.note_answer("s", "a", 0.004, Warmth.NO_OBJECT, False)
+        worktimes.note_response("s", "a", 0.004, Warmth.NO_OBJECT, False)
     assert worktimes.get_cold_s("s") == cold_s
     assert worktimes.get_factor("a") == pytest.approx(1.0, abs=0.1)
     assert worktimes.get_objectless_s("s") < 0.02
@@ -105,8 +105,8 @@
     worktimes = WorkTimes()
     for upstream in ("a", "b", "c"):
         for _ in range(20):
-            worktimes.note_answer("s", upstream, 0.3, Warmth.NO_OBJECT, False)
+            worktimes.note_response("s", upstream, 0.3, Warmth.NO_OBJECT, False)
     for _ in range(4):
-        worktimes.note_answer("s", "a", 1.2, Warmth.NO_OBJECT, False)
+        worktimes.note_response("s", "a", 1.2, Warmth.NO_OBJECT, False)
     assert worktimes.get_factor("a") > 2
     assert worktimes.get_mean_s("s") == pytest.approx(0.3, abs=0.1)
--- a/godwitlanding/tests/gateway/test_chooser.py
+++ b/godwitlanding/tests/gateway/test_chooser.py
@@ -245,7 +245,7 @@
     async with Setting(WARM[:2]) as setting:
         for _ in range(40):
             for upstream in ("u0", "u1"):
-                setting.worktimes.note_answer("s", upstream, 0.1, Warmth.WARM, False)
+                setting.worktimes.note_response("s", upstream, 0.1, Warmth.WARM, False)
                 if upstream in failing:
                     setting.worktimes.note_failure("s", upstream)
         setting.fill("u0", in_progress)
@@ -398,7 +398,7 @@
         choice = setting.choose(request)
         setting.registry.remove_upstream(choice.upstream.id)
         setting.chooser.learning.note_unreached(request, choice)
-        setting.chooser.learning.note_answer(request, choice, 0.1)
+        setting.chooser.learning.note_response(request, choice, 0.1)
         assert setting.choose(request).upstream.id != choice.upstream.id
 
 
@@ -412,11 +412,13 @@
         for number in range(5 if slow_s else 0):
             request = make_request(f"slow{number}")
             choice = setting.choose(request._replace(respond_by=request.respond_by + 9))
-            setting.chooser.learning.note_answer(request, choice, slow_s)
+            setting.chooser.learning.note_response(request, choice, slow_s)
         for number in range(60):
             request = make_request(f"k{number}")
             request = request._replace(respond_by=request.respond_by + 9)
-            setting.chooser.learning.note_answer(request, setting.choose(request), 0.02)
+            setting.chooser.learning.note_response(
+                request, setting.choose(request), 0.02
+            )
         setting.fill("u0", 4)
         assert not isinstance(setting.choose(make_request("new")), Rejection)
 
@@ -427,12 +429,12 @@
     # smaller than estimated.
     async with Setting([("u0", "a1", 0.0)]) as setting:
         for _ in range(10):
-            setting.worktimes.note_answer("s", "u0", 0.1, Warmth.WARM, False)
-            setting.worktimes.note_answer("s", "u0", 0.4, Warmth.COLD, False)
+            setting.worktimes.note_response("s", "u0", 0.1, Warmth.WARM, False)
+            setting.worktimes.note_response("s", "u0", 0.4, Warmth.COLD, False)
         for number in range(240):
             request = make_request(str(number % 12))
             choice = setting.choose(request)
-            setting.chooser.learning.note_answer(request, choice, 0.4)
+            setting.chooser.learning.note_response(request, choice, 0.4)
         assert setting.worktimes.get_factor("u0") < 2.0
         assert setting.chooser.learning.get_cache_size("s") < 12
 
@@ -442,9 +444,11 @@
     async with Setting(WARM) as setting:
         for name, _, _ in WARM:
             for _ in range(10):
-                setting.worktimes.note_answer("s", name, 0.5, Warmth.WARM, False)
-                setting.worktimes.note_answer("s", name, 1.6, Warmth.COLD, False)
-                setting.worktimes.note_answer("s", name, 0.004, Warmth.NO_OBJECT, False)
+                setting.worktimes.note_response("s", name, 0.5, Warmth.WARM, False)
+                setting.worktimes.note_response("s", name, 1.6, Warmth.COLD, False)
+                setting.worktimes.note_response(
+                    "s", name, 0.004, Warmth.NO_OBJECT, False
+                )
         hurried = make_request(key="")._replace(respond_by=0.9, target_at=0.9)
         assert not isinstance(setting.choose(hurried), Rejection)
         now = asyncio.get_running_loop().time()
--- a/godwitlanding/tests/gateway/test_upstreamclient.py
+++ b/godwitlanding/tests/gateway/test_upstreamclient.py
@@ -46,7 +46,7 @@
         self.headers = list(headers)
         self.forgotten = []
         self.worktimes = WorkTimes()
-        learning = SimpleNamespace(note_answer=lambda *response: None)
+        learning = SimpleNamespace(note_response=lambda *response: None)
         self.ejected = set()
         self.chooser = SimpleNamespace(
             availability=SimpleNamespace(ejected=self.ejected), learning=learning
--- a/godwitlanding/tests/load/allotment_model.py
+++ b/godwitlanding/tests/load/allotment_model.py
@@ -220,7 +220,7 @@
     def _receive_report(self, now, vm, sender, incarnation, report):
         if vm.up:
             vm.reachability.note(
-                sender.name, True, sender.reachability.count_heard(now), now
+                sender.name, True, sender.reachability.count_reachable(now), now
             )
             vm.strategy.receive(sender.name, incarnation, report, now)
 
--- a/godwitlanding/tests/standins/test_standin_upstream.py
+++ b/godwitlanding/tests/standins/test_standin_upstream.py
@@ -6,7 +6,7 @@
 import aiohttp
 import pytest
 
-from godwitlanding.base.config import Upstream
+from godwitlanding.base.config import UpstreamConfig
 from godwitlanding.base.httpclient import make_session
 from godwitlanding.tests.standins.bodies import is_intact, make_bundle
 from godwitlanding.tests.standins.licensed import Executions, LicensedUpstream
@@ -23,7 +23,7 @@
 
     def __init__(self):
         self.executions = Executions()
-        description = Upstream("up-1", ADDRESS, "a", 3, "status")
+        description = UpstreamConfig("up-1", ADDRESS, "a", 3, "status")
         self.upstream = LicensedUpstream(description, WORK_S, self.executions)
         self.session = make_session(100, base_url=f"http://{ADDRESS}")
 
