--- a/godwitlanding/decisions/__init__.py
+++ b/godwitlanding/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decision logic of the gateway: no I/O, and time is passed in as a number."""
+"""Decision logic of all programs: no I/O, and the time is an argument."""
--- a/godwitlanding/decisions/admission.py
+++ b/godwitlanding/decisions/admission.py
@@ -2,7 +2,7 @@
 
 Load pattern: more requests arrive than the slots can serve, for seconds or
 for hours. An unbounded queue grows until each request in it is answered
-after its caller has given up: the slots stay busy and no answer is useful.
+after its caller has given up: the slots stay busy and no response is useful.
 So a request that cannot be served in time is refused at once, and the slots
 work only on requests whose callers still wait.
 
--- a/godwitlanding/decisions/allotment.py
+++ b/godwitlanding/decisions/allotment.py
@@ -14,9 +14,9 @@
 So each region has one token bucket for a workspace, and each of its VMs
 computes the bucket's level by itself from the request counts that the VMs send
 each other many times a second (``decisions.tally``). A margin is kept back for
-requests that a VM has not been told of yet (``decisions.workspacebucket``).
+requests that a VM does not know of yet (``decisions.workspacebucket``).
 The region's part of the rate follows the demand of its callers by
-``decisions.sharing``; every region is told the demand in the others.
+``decisions.sharing``; every region receives the demand in the others.
 
 If some VMs of a region are unreachable, the region's part and the level of its
 bucket shrink to the share of the VMs that is reachable, as the others may be
--- a/godwitlanding/decisions/cachesize.py
+++ b/godwitlanding/decisions/cachesize.py
@@ -7,10 +7,10 @@
 estimate is too high, evicted objects count as cached; if it is too low,
 objects that are still cached are sent to other upstreams.
 
-So each answer about an object that the same upstream had answered this VM
+So each response about an object that the same upstream had answered this VM
 about before is a measurement: with ``depth`` other objects handled there
-since, a fast answer means that the cache holds more than ``depth`` objects, a
-slow one that it holds fewer. The estimate settles where both are equally
+since, a fast response means that the cache holds more than ``depth`` objects,
+a slow one that it holds fewer. The estimate settles where both are equally
 likely.
 """
 
@@ -32,7 +32,7 @@
         return self._objects_by_service.get(service, INITIAL_OBJECTS)
 
     def note(self, service, depth, was_known):
-        """Update the estimate by an answer at LRU depth ``depth``."""
+        """Update the estimate by a response at LRU depth ``depth``."""
         estimate = self.get(service)
         if was_known == (depth < estimate):
             return
--- a/godwitlanding/decisions/choice.py
+++ b/godwitlanding/decisions/choice.py
@@ -1,4 +1,4 @@
-"""Chooses the zones and entry VMs that a caller is told to use.
+"""Chooses the zones and entry VMs that a caller is directed to.
 
 Pure: no network and no clock. Callers cache their answers for a while and
 ask again, while weights change by small steps and VMs come and go; every
--- a/godwitlanding/decisions/fleet.py
+++ b/godwitlanding/decisions/fleet.py
@@ -7,8 +7,8 @@
 there is known. The VM that answers may always name itself if it is ready: the
 request proves that it can be reached.
 
-VMs differ in capacity: an answer of 90 KB takes 7 ms on a link of 100 Mbit/s
-but 144 ms on one of 5 Mbit/s, once in and once out, and small answers queue
+VMs differ in capacity: a response of 90 KB takes 7 ms on a link of 100 Mbit/s
+but 144 ms on one of 5 Mbit/s, once in and once out, and small responses queue
 behind it. Callers pick evenly among the named VMs, so VMs with a high capacity
 are named first, and the others only if the remaining high-capacity VMs cannot
 carry the load.
@@ -183,7 +183,7 @@
 
 
 def is_busy(in_progress, rate_by_service):
-    """Tell whether a VM has or receives requests of callers."""
+    """Return whether a VM has or receives requests of callers."""
     return bool(in_progress) or sum(rate_by_service.values()) >= BUSY_PER_S
 
 
--- a/godwitlanding/decisions/health.py
+++ b/godwitlanding/decisions/health.py
@@ -54,7 +54,7 @@
     >>> health = UpstreamHealth(["s1", "s2"])
     >>> health.note_signal("s1", DRAINING, now=0.0)
     >>> health.get_verdicts(now=0.0)["s1"]
-    Verdict(usable=False, leaving=True, why='its own word')
+    HealthVerdict(usable=False, leaving=True, why='its own word')
     """
 
     def __init__(self, upstream_ids=()):
@@ -106,7 +106,7 @@
             record.success_at = now
 
     def get_verdicts(self, now):
-        """Return the ``Verdict`` of every upstream by its id."""
+        """Return the ``HealthVerdict`` of every upstream by its id."""
         not_leaving = [
             r for r in self._record_by_upstream.values() if not _get_leaving_reason(r)
         ]
--- a/godwitlanding/decisions/objectmap.py
+++ b/godwitlanding/decisions/objectmap.py
@@ -4,7 +4,7 @@
 times the usual time, longer than the target latency allows, and every VM
 that sends the object to another upstream causes one more first request. One
 VM sees only part of the requests, so its own records are not enough: half of
-all late answers were first requests, three and more for each object, where
+all late responses were first requests, three and more for each object, where
 one would have been enough.
 
 So each VM announces to the others which upstream it first sent an object to
--- a/godwitlanding/decisions/occupancy.py
+++ b/godwitlanding/decisions/occupancy.py
@@ -1,7 +1,7 @@
 """Estimates how many requests each upstream has, from one VM's point of view.
 
 Load pattern: a few VMs share upstreams of three slots each, and each VM
-learns the load from answers, as it was when the answer was sent. At 30
+learns the load from responses, as it was when each was sent. At 30
 requests a second per VM that is about half a second ago, longer than the
 work itself: two VMs find the same upstream idle and both fill it.
 
--- a/godwitlanding/decisions/patience.py
+++ b/godwitlanding/decisions/patience.py
@@ -16,8 +16,8 @@
 down from the longest time as far as the counts stay near those above. A caller
 with less time left than the band has waited for at least the difference. A
 caller inside the band is treated as a first attempt: if that is wrong, one
-answer is late, while the opposite error refuses a caller that could be served
-in time.
+response is late, while the opposite error refuses a caller that could be
+served in time.
 """
 
 # A bin is 2 % of the longest time: 50 ms for a patience of 2.5 s, and a caller
--- a/godwitlanding/decisions/pause.py
+++ b/godwitlanding/decisions/pause.py
@@ -38,5 +38,5 @@
         return min((self.get_left_s(u, now) for u in upstreams), default=0.0)
 
     def forget(self, upstream):
-        """Drop the pause of an upstream that is gone or has restarted."""
+        """Discard the pause of an upstream that was removed or restarted."""
         self._until_by_upstream.pop(upstream, None)
--- a/godwitlanding/decisions/placing.py
+++ b/godwitlanding/decisions/placing.py
@@ -1,8 +1,8 @@
 """Chooses the upstream of a request, and decides whether to refuse it at once.
 
-Load pattern: more work than slots, for seconds or all day. A late answer is
+Load pattern: more work than slots, for seconds or all day. A late response is
 worth a fifth of one in time and takes as long, so a queue in which every
-answer becomes late wastes the slots. A request goes where it is expected to
+response becomes late wastes the slots. A request goes where it is expected to
 finish first; if that is after its target latency because it would have to
 wait for a slot, it is refused at once, so that its caller can retry while
 there is time.
@@ -39,7 +39,7 @@
 # Longest waits of requests that will be late, in units of one request's work:
 # at three slots, no request may wait before it, or one if it was refused
 # before. Longer waits make the requests behind late as well: more callers get
-# an answer, but fewer in time.
+# a response, but fewer in time.
 MAX_LATE_WAIT = 0.3
 MAX_RETURNING_WAIT = 0.75
 
@@ -62,7 +62,7 @@
 
 
 class Placement(NamedTuple):
-    """Where a request would go and when its answer is expected."""
+    """Where a request would go and when its response is expected."""
 
     candidate: Candidate
     finish_s: float
--- a/godwitlanding/decisions/queue.py
+++ b/godwitlanding/decisions/queue.py
@@ -71,13 +71,13 @@
         """Queue a request and return its ``QueuedRequest``."""
         priority = self._by_priority.setdefault(ask.priority, _Priority())
         tag = priority.clock.make_tag(ask.caller, ask.request_id, cost)
-        waiting = QueuedRequest(ask, now, start_by, is_long, cost, tag)
-        self._insert(priority, waiting)
-        return waiting
+        queued_request = QueuedRequest(ask, now, start_by, is_long, cost, tag)
+        self._insert(priority, queued_request)
+        return queued_request
 
-    def put_back(self, waiting):
+    def put_back(self, queued_request):
         """Queue a removed request again at its old position."""
-        self._insert(self._by_priority[waiting.ask.priority], waiting)
+        self._insert(self._by_priority[queued_request.ask.priority], queued_request)
 
     def get(self, request_id):
         """Return the ``QueuedRequest``, or ``None`` if not queued."""
@@ -85,12 +85,12 @@
 
     def remove(self, request_id):
         """Remove and return the ``QueuedRequest``, or ``None``."""
-        waiting = self._waiting_by_id.pop(request_id, None)
-        if waiting:
-            priority = self._by_priority[waiting.ask.priority]
-            priority.get_lane(waiting.is_long).remove(waiting.tag)
-            self._count(waiting.ask.caller, -1)
-        return waiting
+        queued_request = self._waiting_by_id.pop(request_id, None)
+        if queued_request:
+            priority = self._by_priority[queued_request.ask.priority]
+            priority.get_lane(queued_request.is_long).remove(queued_request.tag)
+            self._count(queued_request.ask.caller, -1)
+        return queued_request
 
     def get_first(self, may_take_long=True):
         """Return the next request, or ``None``; long ones only if allowed."""
@@ -107,46 +107,48 @@
                 return self._waiting_by_id[priority.get_last().request_id]
         return None
 
-    def note_served(self, waiting):
+    def note_served(self, queued_request):
         """Record that a removed request got a slot."""
-        self._by_priority[waiting.ask.priority].clock.note_served(waiting.tag)
+        self._by_priority[queued_request.ask.priority].clock.note_served(
+            queued_request.tag
+        )
 
-    def note_refused(self, waiting):
+    def note_refused(self, queued_request):
         """Refund the fair-share cost of a removed request without a slot."""
-        clock = self._by_priority[waiting.ask.priority].clock
-        clock.refund(waiting.ask.caller, waiting.cost)
+        clock = self._by_priority[queued_request.ask.priority].clock
+        clock.refund(queued_request.ask.caller, queued_request.cost)
 
-    def count_ahead(self, waiting):
+    def count_ahead(self, queued_request):
         """Return how many requests will be served before this one."""
         ahead = 0
         for level, priority in self._by_priority.items():
-            if level >= waiting.ask.priority:
+            if level >= queued_request.ask.priority:
                 break
             ahead += len(priority)
-        own = self._by_priority[waiting.ask.priority]
+        own = self._by_priority[queued_request.ask.priority]
         return ahead + sum(
-            lane.bisect_left(waiting.tag) for lane in (own.short, own.long)
+            lane.bisect_left(queued_request.tag) for lane in (own.short, own.long)
         )
 
-    def count_long_ahead(self, waiting):
+    def count_long_ahead(self, queued_request):
         """Return how many long requests will be served before this one."""
         ahead = 0
         for level, priority in self._by_priority.items():
-            if level >= waiting.ask.priority:
+            if level >= queued_request.ask.priority:
                 break
             ahead += len(priority.long)
-        own = self._by_priority[waiting.ask.priority]
-        return ahead + own.long.bisect_left(waiting.tag)
+        own = self._by_priority[queued_request.ask.priority]
+        return ahead + own.long.bisect_left(queued_request.tag)
 
     def is_over_share(self, caller):
         """Return whether the caller has over twice its share queued."""
         share = len(self) / max(1, len(self._count_by_caller))
         return self._count_by_caller.get(caller, 0) > max(1.0, 2 * share)
 
-    def _insert(self, priority, waiting):
-        priority.get_lane(waiting.is_long).add(waiting.tag)
-        self._waiting_by_id[waiting.ask.request_id] = waiting
-        self._count(waiting.ask.caller, 1)
+    def _insert(self, priority, queued_request):
+        priority.get_lane(queued_request.is_long).add(queued_request.tag)
+        self._waiting_by_id[queued_request.ask.request_id] = queued_request
+        self._count(queued_request.ask.caller, 1)
 
     def _count(self, caller, change):
         count = self._count_by_caller.get(caller, 0) + change
--- a/godwitlanding/decisions/ratelimit.py
+++ b/godwitlanding/decisions/ratelimit.py
@@ -1,6 +1,6 @@
 """Limits the request rate to upstreams that have announced a limit.
 
-An overloaded upstream states in its answers how many requests a second it
+An overloaded upstream states in its responses how many requests a second it
 accepts from all VMs together, for as long as it says so.
 
 Load pattern: requests about an object keep going to the upstream that has it
@@ -34,7 +34,7 @@
 # If the bucket stays fuller than this, the demand is below the limit: a limit
 # far above the demand changes nothing.
 SCARCE_LEVEL_SHARE = 0.9
-# A limit that no answer has confirmed for this long is dropped: nobody sends
+# A limit that no response has confirmed for this long is dropped: nobody sends
 # there, and it may have been removed long ago. It is more than the interval
 # between two requests at ``MIN_PER_S``.
 LIMIT_TTL_S = 15.0
@@ -44,7 +44,7 @@
 # others have been counting.
 COUNT_SETTLE_S = 1.0
 # Another region's limits arrive in its digests, some moments after its
-# upstream's answer.
+# upstream's response.
 REMOTE_SETTLE_S = 2.0
 REMOTE_TIMEOUT_S = 3.0
 # Messages between VMs round limits to fewer digits than upstreams use.
@@ -58,7 +58,7 @@
 
     ``per_s`` is what the upstream answered to the VM itself ``age_s`` seconds
     ago, where ``None`` stands for no limit; ``age_s`` is ``None`` if the VM
-    has had no answer.
+    has had no response.
     """
 
     upstream: int
@@ -135,7 +135,7 @@
         return limit.announced_per_s if limit else None
 
     def may_send(self, upstream, now):
-        """Tell whether a request may be sent to an upstream now."""
+        """Return whether a request may be sent to an upstream now."""
         limit = self._limit_by_upstream.get(upstream)
         if limit is None or limit.announced_per_s is None:
             return True
@@ -145,7 +145,7 @@
         return limit.level >= 1.0
 
     def is_scarce(self, upstream, now):
-        """Tell whether a limit leaves hardly more than the demand."""
+        """Return whether a limit leaves hardly more than the demand."""
         limit = self._limit_by_upstream.get(upstream)
         if limit is None or limit.announced_per_s is None:
             return False
@@ -164,7 +164,7 @@
             limit.changed_at = now
 
     def note_response(self, upstream, region, per_s, now):
-        """Take the limit in an upstream's answer, ``None`` for no limit.
+        """Record the limit in an upstream's response, ``None`` for none.
 
         ``region`` is the upstream's. Returns whether the limit has changed.
         """
@@ -231,7 +231,7 @@
         """Update all limits; called several times a second.
 
         ``reachable_share`` is the share of the region's VMs that is reachable,
-        ``carries`` tells whether this VM carries requests of callers.
+        ``carries`` is whether this VM carries requests of callers.
         """
         self._reachable_share = reachable_share
         self._carries = carries
@@ -244,7 +244,7 @@
                 self._set_refill_rate(limit, now)
 
     def forget(self, upstream):
-        """Drop the limit of an upstream that is gone."""
+        """Discard the limit of an upstream that was removed."""
         self._limit_by_upstream.pop(upstream, None)
 
     def _add(self, upstream, region, now):
--- a/godwitlanding/decisions/recipients.py
+++ b/godwitlanding/decisions/recipients.py
@@ -25,7 +25,7 @@
 
 
 def is_active(own_vm, rate_per_s, carriers):
-    """Tell whether a VM sends its state to its whole region.
+    """Return whether a VM sends its state to its whole region.
 
     ``rate_per_s`` is the rate of requests that callers send to it;
     ``carriers`` are the names of the VMs that callers are directed to, as far
--- a/godwitlanding/decisions/removalguard.py
+++ b/godwitlanding/decisions/removalguard.py
@@ -76,7 +76,7 @@
             self._removed_at_by_name.popitem(last=False)
 
     def remove(self, name, now):
-        """Tell whether an entry may be dropped now; else hold its removal."""
+        """Return whether an entry may be dropped; if not, hold its removal."""
         if now >= self._hold_removals_until:
             self._removal_due_by_name.pop(name, None)
             return True
@@ -88,7 +88,7 @@
         self._removal_due_by_name.pop(name, None)
 
     def is_reappearance_suspect(self, name, now):
-        """Tell whether a reappeared entry may be a stale one from a copy."""
+        """Return whether a reappeared entry may be a stale one from a copy."""
         return now < self._hold_reappeared_until and name in self._removed_at_by_name
 
     def take_due_removals(self, now):
--- a/godwitlanding/decisions/routes.py
+++ b/godwitlanding/decisions/routes.py
@@ -23,7 +23,7 @@
 
     @property
     def is_idempotent(self):
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         return self is not RouteKind.UNSAFE
 
 
--- a/godwitlanding/decisions/storereaders.py
+++ b/godwitlanding/decisions/storereaders.py
@@ -44,7 +44,7 @@
 
 
 class StoreAccess(NamedTuple):
-    """What a VM of the region reports about its access to the store."""
+    """Whether a VM of the region reads the store, as it reports itself."""
 
     vm: str
     # The store answers it, and it follows every kind of object.
@@ -64,7 +64,7 @@
 
 
 def should_read(own, order, access_by_vm, nobody_for_s):
-    """Tell whether the VM ``own`` (a ``Neighbour``) has to read the store.
+    """Return whether the VM ``own`` (a ``StoreAccess``) has to read the store.
 
     ``nobody_for_s`` is the time for which no other VM of the region has read.
     """
@@ -82,7 +82,7 @@
 
 
 def may_stop_reading(own, order, access_by_vm):
-    """Tell whether enough others read for a VM that does not have to."""
+    """Return whether enough others read for a VM that does not have to."""
     readers = [vm for vm in order if vm != own.vm and _reads(vm, access_by_vm)]
     return len(readers) >= READERS
 
--- a/godwitlanding/decisions/tally.py
+++ b/godwitlanding/decisions/tally.py
@@ -1,4 +1,4 @@
-"""Data that VMs exchange about workspaces: counts that only grow.
+"""Request counts of workspaces that VMs exchange; the counts only grow.
 
 Each VM sends its total since it started, not the increase: the next message
 makes up for a lost one, and a duplicate adds nothing.
--- a/godwitlanding/decisions/warmup.py
+++ b/godwitlanding/decisions/warmup.py
@@ -3,7 +3,7 @@
 Load pattern: an upstream has just started, or a zone takes over callers, and
 its caches are empty. The first requests take several times as long, and the
 least busy upstream of the pool is the cold one, so without slow start it
-gets its full share at once; callers get the slowest answers, and an upstream
+gets its full share at once; callers get the slowest responses, and an upstream
 that sheds while it starts refuses work that a warm one would do.
 
 The usable share of the slots rises linearly over the service's
--- a/godwitlanding/decisions/worktime.py
+++ b/godwitlanding/decisions/worktime.py
@@ -10,9 +10,9 @@
 half of its requests while its health endpoint reports that it is healthy. If
 it fails quickly it looks idle and gets most of the work. An upstream's
 factor is its own time over the expected mean; its failure share is kept
-beside it. The newest answer weighs a tenth for a service, which has dozens
+beside it. The newest response weighs a tenth for a service, which has dozens
 each second, and a quarter for an upstream, of which one VM gets a few each
-second, so that a slow one is detected after about four answers.
+second, so that a slow one is detected after about four responses.
 """
 
 from enum import Enum
@@ -20,7 +20,7 @@
 _SERVICE_WEIGHT = 0.1
 _UPSTREAM_WEIGHT = 0.25
 _FAILURE_WEIGHT = 0.2
-# The shares of a service cover about the last fifty answers.
+# The shares of a service cover about the last fifty responses.
 _SERVICE_FAILURE_WEIGHT = 0.02
 _SHARE_WEIGHT = 0.02
 # An upstream that fails half of its requests is worse than one that has not
@@ -30,7 +30,7 @@
 # requests fill the slots.
 FAILING_SHARE = 0.5
 OUTLIER_MARGIN = 0.25
-# Before the first answer; the usual work times of both users are near these.
+# Before the first response; the usual work times of both users are near these.
 INITIAL_WARM_S = 0.15
 INITIAL_COLD_S = 0.4
 # An upstream this many times slower than usual takes longer for a cached
@@ -62,13 +62,13 @@
         self._factor_by_upstream = {}
         self._failures_by_upstream = {}
         self._failures_by_service = {}
-        # Shares of a service's answers: of cold ones among those with an
+        # Shares of a service's responses: of cold ones among those with an
         # object, and of those without an object.
         self._cold_share_by_service = {}
         self._objectless_share_by_service = {}
 
     def note_response(self, service, upstream, work_s, warmth, waited):
-        """Record an answer's time; ``waited``: it queued for a slot."""
+        """Record a response's time; ``waited``: it queued for a slot."""
         self._update_failures(service, upstream, 0.0)
         if warmth is Warmth.UNSURE:
             middle = (self.get_warm_s(service) + self.get_cold_s(service)) / 2
@@ -85,7 +85,7 @@
             self._mean_by_service[key] = mean_s + _SERVICE_WEIGHT * (sample - mean_s)
 
     def note_failure(self, service, upstream):
-        """Record that the upstream failed, shed or did not answer."""
+        """Record that the upstream failed, shed or did not respond."""
         self._update_failures(service, upstream, 1.0)
 
     def get_warm_s(self, service):
@@ -149,7 +149,7 @@
             self._failures_by_upstream[upstream] *= 0.9
 
     def forget(self, upstream):
-        """Remove the values of an upstream that is gone."""
+        """Discard the values of an upstream that was removed."""
         self._factor_by_upstream.pop(upstream, None)
         self._failures_by_upstream.pop(upstream, None)
 
--- a/godwitlanding/gateway/allotmentgossip.py
+++ b/godwitlanding/gateway/allotmentgossip.py
@@ -83,7 +83,7 @@
 
         A decrease of ``share`` takes effect at once.
         """
-        # VMs that carry no requests have almost nothing to share out, and
+        # VMs that carry no requests have almost nothing to distribute, and
         # there are many of them, so they recompute less often.
         self._ticks += 1
         every = CARRIER_UPDATE_EVERY if carries_requests else IDLE_UPDATE_EVERY
--- a/godwitlanding/gateway/availability.py
+++ b/godwitlanding/gateway/availability.py
@@ -15,26 +15,26 @@
     upstreams that have asked this VM for a pause.
     """
 
-    def __init__(self, identity, registry, fleet, limits):
+    def __init__(self, identity, registry, fleet, limit_gossip):
         self._vm = identity.vm
         self._own_peer = make_own_peer(identity)
         self._registry = registry
         self._fleet = fleet
-        self._limits = limits
+        self._limit_gossip = limit_gossip
         self._cold_next_by_upstream = {}
         self.ejected = set()
         self.pauses = Pauses()
 
     def is_available(self, upstream_id, now):
-        """Tell whether a request may be sent to an upstream at once."""
+        """Return whether a request may be sent to an upstream at once."""
         if upstream_id in self.ejected or self.pauses.get_left_s(upstream_id, now) > 0:
             return False
-        if not self._limits.may_send(upstream_id, now):
+        if not self._limit_gossip.may_send(upstream_id, now):
             return False
         return self._is_cold_upstream_available(upstream_id, now)
 
     def may_send_new_objects(self, upstream_id, now):
-        """Tell whether an upstream may be sent objects it has not cached.
+        """Return whether an upstream may be sent objects it has not cached.
 
         An upstream with a scarce limit uses the remainder for requests about
         objects that it has cached.
@@ -44,12 +44,12 @@
         return self._registry.get_cold_left_s(upstream_id, now) <= 0
 
     def is_scarce(self, upstream_id, now):
-        """Tell whether demand for an upstream reaches its rate limit."""
-        return self._limits.is_scarce(upstream_id, now)
+        """Return whether demand for an upstream reaches its rate limit."""
+        return self._limit_gossip.is_scarce(upstream_id, now)
 
     def note_sent(self, upstream_id, now):
         """Record a request to an upstream; a cold one then gets a pause."""
-        self._limits.note_sent(upstream_id, now)
+        self._limit_gossip.note_sent(upstream_id, now)
         if self._registry.get_cold_left_s(upstream_id, now) <= 0:
             return
         upstream = self._registry.upstream_by_id[upstream_id]
--- a/godwitlanding/gateway/chooser.py
+++ b/godwitlanding/gateway/chooser.py
@@ -22,13 +22,13 @@
 # free slots. Twice this share is still below what users tolerate.
 OVERFLOW_SHARE = 0.05
 # An object whose homes are full gets one more home for this share of the
-# requests. Without a limit, first runs take the slots that known objects need,
-# so requests for those find their homes full and move in turn: every caller
-# gets late responses, although upstreams know all objects.
+# requests. Without a limit, cold requests take the slots that known objects
+# need, so requests for those find their homes full and move in turn: every
+# caller gets late responses, although upstreams know all objects.
 NEW_HOME_SHARE = 0.02
 # An upstream with less than this share of its slots in use can run a new
 # object without delaying known ones. Under overload a slot is hardly ever
-# free, and a first run takes the slot time of three requests for known
+# free, and a cold request takes the slot time of three requests for known
 # objects.
 IDLE_OCCUPANCY = 1 / 3
 # Exponential smoothing factor; the average covers about the last 50 requests.
@@ -88,16 +88,16 @@
     name = "chooser"
     needs = ("registry", "peers")
 
-    def __init__(self, identity, occupancy, worktimes, fleet, object_map, limits):
+    def __init__(self, identity, occupancy, worktimes, fleet, object_map, limit_gossip):
         self._identity = identity
-        self._limits = limits
+        self._limit_gossip = limit_gossip
         self._occupancy = occupancy
         self._worktimes = worktimes
         self._fleet = fleet
         self._object_map = object_map
         self._registry = None
         self._tasks = []
-        self._plan = None
+        self._region_balancer = None
         self._overflow_share_by_service = {}
         self._new_home_share_by_service = {}
         self._homes = Homes()
@@ -117,20 +117,20 @@
             self._registry, peers, self._worktimes, self._object_map
         )
         self.availability = Availability(
-            self._identity, self._registry, self._fleet, self._limits
+            self._identity, self._registry, self._fleet, self._limit_gossip
         )
         self._candidates = self._make_candidates()
-        self._plan = RegionBalancer(
+        self._region_balancer = RegionBalancer(
             self._identity,
             self._registry,
             peers,
             self._worktimes,
             self._homes,
-            self._limits,
+            self._limit_gossip,
             self.availability.ejected,
         )
         self._tasks = [
-            start_task(self._plan.run()),
+            start_task(self._region_balancer.run()),
             start_task(self._recover_periodically()),
         ]
 
@@ -153,7 +153,7 @@
 
     def get_status(self):
         """Return the regions' shares by service, and the ejected upstreams."""
-        shares = self._plan.shares_by_service
+        shares = self._region_balancer.shares_by_service
         return {"shares": shares, "ejected": sorted(self.availability.ejected)}
 
     def may_try_again(self, service, upstream, now):
@@ -181,7 +181,7 @@
         return max(pause_s, self._worktimes.get_warm_s(request.service))
 
     def forget(self, upstream_id):
-        """Drop the state of an upstream that is gone or has restarted."""
+        """Discard the state of an upstream that was removed or restarted."""
         self.availability.forget(upstream_id)
         self.learning.forget(upstream_id)
 
@@ -195,7 +195,9 @@
             return Rejection("no upstream", None, request.target_at - now)
         if request.key:
             self._homes.note_object(request.service, request.key)
-        planned_region = self._plan.pick_region(request.service, regions, request.key)
+        planned_region = self._region_balancer.pick_region(
+            request.service, regions, request.key
+        )
         known = self._candidates.find_known(request, regions, tried, now)
         if known.ids_by_region:
             return self._choose_for_known(request, known, planned_region, tried, now)
@@ -292,7 +294,7 @@
 
     def _may_overflow(self, service, region, now):
         # If the caches cannot hold all objects, overflow evicts known ones.
-        if not self._plan.can_cache_all_objects(service, region):
+        if not self._region_balancer.can_cache_all_objects(service, region):
             return False
         return self._shift_guard.may_change(region, now)
 
@@ -329,7 +331,7 @@
     def _get_regions(self, request):
         regions = []
         allowed = request.allowed_regions
-        for region in self._plan.regions:
+        for region in self._region_balancer.regions:
             if allowed is not None and region not in allowed:
                 continue
             if self._registry.get_usable_ids(request.service, region):
--- a/godwitlanding/gateway/datagrams.py
+++ b/godwitlanding/gateway/datagrams.py
@@ -23,7 +23,7 @@
         )
 
     def is_open(self):
-        """Tell whether the socket has been opened."""
+        """Return whether the socket has been opened."""
         return self._transport is not None
 
     def close(self):
--- a/godwitlanding/gateway/feed.py
+++ b/godwitlanding/gateway/feed.py
@@ -107,7 +107,7 @@
         self._task = start_task(self._follow(host)) if host else None
 
     def has_reading_source(self):
-        """Tell whether the source reads the store itself."""
+        """Return whether the source reads the store itself."""
         return self.source_reads
 
     def _get_address(self, host):
--- a/godwitlanding/gateway/gossipmessage.py
+++ b/godwitlanding/gateway/gossipmessage.py
@@ -77,7 +77,7 @@
 
     @property
     def carries(self):
-        """Tell whether the VM is active and accepts callers."""
+        """Return whether the VM is active and accepts callers."""
         return self.active and self.ready and not self.leaving
 
 
@@ -129,7 +129,7 @@
 
 def _unpack_limit(upstream, per_s, age_ms, sent):
     if not math.isfinite(per_s):
-        raise ValueError("a limit that is none")
+        raise ValueError("rate limit is not finite")
     named_per_s = None if per_s < 0 else per_s
     age_s = None if age_ms == _NO_AGE else age_ms / 1000
     return LimitRow(upstream, named_per_s, age_s, sent)
@@ -197,7 +197,7 @@
             leaving_upstreams=_unpack_numbers(encoded.leavingUpstreams),
         )
     except (capnp.KjException, UnicodeDecodeError, struct.error) as error:
-        raise ValueError(f"not a bulletin: {error}") from None
+        raise ValueError(f"not a gossip message: {error}") from None
 
 
 def _read_rates(rows):
@@ -234,5 +234,5 @@
 def _unpack_amounts(kind, data):
     rows = tuple(kind(*row) for row in _AMOUNT.iter_unpack(data))
     if not all(math.isfinite(amount) for _, amount in rows):
-        raise ValueError("an amount that is none")
+        raise ValueError("amount is not finite")
     return rows
--- a/godwitlanding/gateway/knownvms.py
+++ b/godwitlanding/gateway/knownvms.py
@@ -34,7 +34,7 @@
         self._digests = digests
         self._remote_targets = RemoteTargets(digests)
         self._listed_by_vm = {}
-        self._quorum = Reachability()
+        self._reachability = Reachability()
         self._logged_share = 1.0
 
     def put(self, vm, listed):
@@ -57,19 +57,19 @@
 
     def receive_message(self, message):
         """Handle a message from a VM of this region."""
-        self._quorum.note(message.vm, message.carries, message.heard, _now())
+        self._reachability.note(message.vm, message.carries, message.heard, _now())
 
     def count_reachable(self):
         """Return the number of reachable VMs of this region with this one."""
-        return self._quorum.count_heard(_now())
+        return self._reachability.count_reachable(_now())
 
     def compute_share(self, carries_requests):
         """Return the share of the region's VMs that is reachable.
 
-        ``carries_requests`` tells whether this VM carries requests itself.
+        ``carries_requests`` is whether this VM carries requests itself.
         """
         listed = self.get_region_names()
-        share = self._quorum.get_share(listed, carries_requests, _now())
+        share = self._reachability.get_share(listed, carries_requests, _now())
         if abs(share - self._logged_share) > LOG_CHANGE:
             self._logged_share = share
             log_message(
--- a/godwitlanding/gateway/learning.py
+++ b/godwitlanding/gateway/learning.py
@@ -43,8 +43,9 @@
         self._peers.note_cache_entry(cache_entry)
         if map_depth is None:
             # No VM has sent the object there. Classified by its time alone, a
-            # fast first run would count as warm; if all first runs are fast,
-            # or were slow for a moment, their time would never be estimated.
+            # fast cold request would count as warm; if all cold requests are
+            # fast, or were slow for a moment, their time would never be
+            # estimated.
             return Warmth.COLD, None
         return self._get_warmth(request.service, depth), depth
 
@@ -70,7 +71,7 @@
             self._object_map.note_response(cache_entry)
 
     def forget(self, upstream_id):
-        """Drop the state of an upstream that is gone or has restarted."""
+        """Discard the state of an upstream that was removed or restarted."""
         self._worktimes.forget(upstream_id)
         number = self._registry.number_by_id.get(upstream_id)
         if number is not None:
--- a/godwitlanding/gateway/limitgossip.py
+++ b/godwitlanding/gateway/limitgossip.py
@@ -52,15 +52,15 @@
         return self._limits.get(self._registry.number_by_id.get(upstream_id))
 
     def is_limited(self, upstream_id):
-        """Tell whether an upstream has set a rate limit."""
+        """Return whether an upstream has set a rate limit."""
         return self.get(upstream_id) is not None
 
     def is_scarce(self, upstream_id, now):
-        """Tell whether demand for an upstream reaches its rate limit."""
+        """Return whether demand for an upstream reaches its rate limit."""
         return self._limits.is_scarce(self._registry.number_by_id[upstream_id], now)
 
     def may_send(self, upstream_id, now):
-        """Tell whether the rate limit allows a request at once."""
+        """Return whether the rate limit allows a request at once."""
         return self._limits.may_send(self._registry.number_by_id[upstream_id], now)
 
     def note_sent(self, upstream_id, now):
@@ -105,7 +105,7 @@
     def update(self, share, carries_requests):
         """Set the share of the region's VMs that is reachable.
 
-        ``carries_requests`` tells whether this VM carries requests itself.
+        ``carries_requests`` is whether this VM carries requests itself.
         """
         self._limits.update(share, carries_requests, _now())
 
--- a/godwitlanding/gateway/mirror.py
+++ b/godwitlanding/gateway/mirror.py
@@ -106,7 +106,7 @@
         }
 
     def is_following(self):
-        """Tell whether this mirror follows the store itself."""
+        """Return whether this mirror follows the store itself."""
         return self._task is not None
 
     def follow(self, lost_at=None):
@@ -164,7 +164,7 @@
                 revision = await self._watch(revision)
 
     def was_just_listed(self):
-        """Tell whether the list was read within ``FRESH_LIST_S``."""
+        """Return whether the list was read within ``FRESH_LIST_S``."""
         return (
             self._listed_revision is not None
             and _now() - self._answered_at < FRESH_LIST_S
--- a/godwitlanding/gateway/peers.py
+++ b/godwitlanding/gateway/peers.py
@@ -135,7 +135,7 @@
         self._arrival_rates.note(service)
 
     def note_cache_entry(self, cache_entry):
-        """Record that an upstream is sent an object, to tell the peers."""
+        """Record the entry of an object sent to an upstream, for the peers."""
         self._object_gossip.note(cache_entry)
 
     def note_crash(self, crash):
@@ -316,7 +316,7 @@
         self._socket.send(message, hosts)
 
     def is_first_representative(self):
-        """Tell whether this VM is its region's first representative."""
+        """Return whether this VM is its region's first representative."""
         return pick_representatives(self._get_region_peers())[:1] == [self._identity.vm]
 
     def _get_region_peers(self):
--- a/godwitlanding/gateway/regionbalancer.py
+++ b/godwitlanding/gateway/regionbalancer.py
@@ -33,13 +33,15 @@
     ``ejected`` is the set of unreachable upstreams.
     """
 
-    def __init__(self, identity, registry, peers, worktimes, homes, limits, ejected):
+    def __init__(
+        self, identity, registry, peers, worktimes, homes, limit_gossip, ejected
+    ):
         self._region = identity.region
         self._registry = registry
         self._peers = peers
         self._worktimes = worktimes
         self._homes = homes
-        self._limits = limits
+        self._limit_gossip = limit_gossip
         self._ejected = ejected
         self._logged_by_service = {}
         self._slots_by_service = {}
@@ -70,7 +72,7 @@
         return region if region in regions else regions[0]
 
     def can_cache_all_objects(self, service, region):
-        """Tell whether a region's upstreams can cache every object."""
+        """Return whether a region's upstreams can cache every object."""
         upstreams = len(self._registry.get_usable(service, region))
         return get_cacheable_share(upstreams, self._homes.get_objects(service)) >= 1.0
 
@@ -142,7 +144,7 @@
 
     def _get_usable_share(self, upstream, work_s):
         """Return the share of an upstream's slots that its limit can fill."""
-        limit_per_s = self._limits.get(upstream.id)
+        limit_per_s = self._limit_gossip.get(upstream.id)
         if limit_per_s is None:
             return 1.0
         return min(1.0, limit_per_s * work_s / upstream.slots)
@@ -155,7 +157,7 @@
         self._log(service, updated, jump, load_by_region)
 
     def _has_jumped(self, service, regions):
-        """Tell whether a region has lost or gained many slots."""
+        """Return whether a region has lost or gained many slots."""
         slots = {
             region: sum(u.slots for u in self._registry.get_usable(service, region))
             for region in regions
--- a/godwitlanding/gateway/registry.py
+++ b/godwitlanding/gateway/registry.py
@@ -46,8 +46,8 @@
     """Holds the latest known state and notifies others of changes.
 
     The functions in ``on_upstream_gone`` are called with the id of each
-    upstream that is leaving, is gone or has restarted, those in ``on_config``
-    with each new configuration.
+    upstream that is leaving, was removed or has restarted, those in
+    ``on_config`` with each new configuration.
     """
 
     name = "registry"
@@ -244,7 +244,7 @@
         self._notify_gone(upstream.id)
 
     def remove_upstream(self, upstream_id):
-        """Remove an upstream whose entry is gone."""
+        """Remove an upstream whose entry was removed."""
         upstream = self.upstream_by_id.pop(upstream_id, None)
         if upstream is None:
             return
--- a/godwitlanding/gateway/sourceselector.py
+++ b/godwitlanding/gateway/sourceselector.py
@@ -72,17 +72,17 @@
         return {"reads": self.is_reading(), "behind": self._behind_since is not None}
 
     def is_reading(self):
-        """Tell whether every mirror follows the store and is answered."""
+        """Return whether every mirror follows the store and is answered."""
         return all(
             mirror.is_following() and mirror.has_answered and not mirror.is_lost
             for mirror in self._mirrors
         )
 
     def is_fresh(self):
-        """Tell whether changes in the store reach this VM without delay."""
+        """Return whether changes in the store reach this VM without delay."""
         if self.is_reading() or self._feed.has_reading_source():
             return True
-        # At the start, until it is decided which VMs read.
+        # At the start, before it is decided which VMs read.
         return all(
             mirror.begins_old or mirror.was_just_listed() for mirror in self._mirrors
         )
@@ -118,7 +118,7 @@
         self._may_decide_reading = True
 
     async def _read_fresh(self, mirrors, reached):
-        """Read lists and set ``reached`` to the version they are good for."""
+        """Read lists and set ``reached`` to the version they show."""
         answered = await asyncio.gather(*(mirror.list_once() for mirror in mirrors))
         is_known = bool(mirrors) and all(answered)
         reached.set_result(max(m.revision for m in mirrors) if is_known else None)
@@ -133,8 +133,8 @@
         now = _now()
         if self.is_reading() or self._follows_reader():
             self._current_at = now
-        access_by_vm = self._get_neighbours()
-        if any(neighbour.reads for neighbour in access_by_vm.values()):
+        access_by_vm = self._get_store_access()
+        if any(access.reads for access in access_by_vm.values()):
             self._reader_seen_at = now
         region_peers = [self._fleet.peer_by_vm[vm] for vm in access_by_vm]
         order = rank_readers([self._own, *region_peers])
@@ -148,7 +148,7 @@
             peer.reads for peer in peers if peer.host == self._feed.source
         )
 
-    def _get_neighbours(self):
+    def _get_store_access(self):
         return {
             peer.vm: StoreAccess(peer.vm, peer.reads, peer.failed)
             for peer in self._fleet.peer_by_vm.values()
@@ -182,8 +182,8 @@
     def _follow_store(self, own, access_by_vm):
         # VMs whose calls failed show that the store was unreachable. The loss
         # of a reader VM alone does not.
-        neighbours = [own, *access_by_vm.values()]
-        was_unreachable = any(neighbour.failed for neighbour in neighbours)
+        accesses = [own, *access_by_vm.values()]
+        was_unreachable = any(access.failed for access in accesses)
         lost_at = self._reader_seen_at if was_unreachable else None
         first, *others = self._mirrors
         first.follow(lost_at)
@@ -212,12 +212,12 @@
         if self.is_reading():
             self._feed.follow("")
         else:
-            self._follow_neighbour(order, access_by_vm, now)
+            self._follow_peer(order, access_by_vm, now)
 
-    def _follow_neighbour(self, order, access_by_vm, now):
+    def _follow_peer(self, order, access_by_vm, now):
         trusted = {
-            vm: neighbour
-            for vm, neighbour in access_by_vm.items()
+            vm: access
+            for vm, access in access_by_vm.items()
             if self._is_trusted(self._fleet.peer_by_vm[vm].host, now)
         }
         digests = self._digests.digest_by_region.values()
--- a/godwitlanding/gateway/upstream.py
+++ b/godwitlanding/gateway/upstream.py
@@ -36,7 +36,7 @@
 MAX_BUFFERED_BYTES = 1 << 20
 
 
-class Failure(Enum):
+class UpstreamFailure(Enum):
     """Why there is no usable response, by what the upstream may have done."""
 
     CONNECT = "connect"
@@ -138,7 +138,7 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._fail(Failure.GARBAGE, repr(error))
+            self._fail(UpstreamFailure.GARBAGE, repr(error))
             self.abort()
 
     def eof_received(self):
@@ -151,7 +151,7 @@
     def connection_lost(self, error):
         self.is_open = False
         self.reusable = False
-        failure = Failure.BROKEN if self._has_head else Failure.RESET
+        failure = UpstreamFailure.BROKEN if self._has_head else UpstreamFailure.RESET
         self._fail(failure, repr(error) if error else "closed")
 
     # Callbacks of the httptools parser.
@@ -244,7 +244,9 @@
             return
         if self._id_header and not self._has_request_id:
             self.reusable = False
-            waiter.set_exception(UpstreamError(Failure.GARBAGE, "no request id"))
+            waiter.set_exception(
+                UpstreamError(UpstreamFailure.GARBAGE, "no request id")
+            )
             return
         body = b"".join(self._chunks)
         waiter.set_result(Response(self._status, self._headers, body, False))
@@ -292,7 +294,7 @@
     async def connect(self, upstream, address, timeout_s):
         """Open a connection.
 
-        Raises ``UpstreamError`` with ``Failure.CONNECT``.
+        Raises ``UpstreamError`` with ``UpstreamFailure.CONNECT``.
         """
         if self._counters:
             self._counters.add("upstream_connections")
@@ -302,7 +304,7 @@
                     lambda: UpstreamConnection(self._id_header), *address
                 )
         except (OSError, TimeoutError) as error:
-            raise UpstreamError(Failure.CONNECT, repr(error)) from None
+            raise UpstreamError(UpstreamFailure.CONNECT, repr(error)) from None
         return connection
 
     def give_back(self, upstream, connection):
--- a/godwitlanding/gateway/upstreamclient.py
+++ b/godwitlanding/gateway/upstreamclient.py
@@ -13,7 +13,7 @@
 from godwitlanding.base.tasks import start_task
 from godwitlanding.decisions.digest import Crash
 from godwitlanding.gateway.attempt import Outcome, classify_response, make_request_bytes
-from godwitlanding.gateway.upstream import Failure, UpstreamError
+from godwitlanding.gateway.upstream import UpstreamError, UpstreamFailure
 
 # Opening a connection takes one round trip and a millisecond. A lost packet
 # costs a second, so another upstream is tried before that.
@@ -48,7 +48,7 @@
         pool,
         occupancy,
         worktimes,
-        limits,
+        limit_gossip,
         counters,
         poison,
     ):
@@ -57,7 +57,7 @@
         self._pool = pool
         self._occupancy = occupancy
         self._worktimes = worktimes
-        self._limits = limits
+        self._limit_gossip = limit_gossip
         self._counters = counters
         self._poison = poison
         self._chooser = None
@@ -128,7 +128,7 @@
             is_complete = True
         except UpstreamError as error:
             self._worktimes.note_failure(request.service, upstream.id)
-            if error.failure is Failure.RESET:
+            if error.failure is UpstreamFailure.RESET:
                 self._spawn(self._check_crash(upstream, request.fingerprint))
             return Outcome.UNKNOWN, None, str(error)
         finally:
@@ -167,7 +167,7 @@
         if report.leaving:
             self._registry.note_leaving(upstream.id)
         if report.limit_per_s is not None or outcome in _EXECUTED:
-            self._limits.note_response(upstream, report.limit_per_s)
+            self._limit_gossip.note_response(upstream, report.limit_per_s)
 
     def _record_pause(self, upstream, pause_s, now):
         self._chooser.availability.pauses.note(upstream.id, pause_s, now)
@@ -240,7 +240,7 @@
 
     def _forget(self, upstream_id):
         self._pool.forget(upstream_id)
-        self._limits.forget(upstream_id)
+        self._limit_gossip.forget(upstream_id)
         self._chooser.forget(upstream_id)
         self._occupancy.forget(upstream_id)
 
--- a/godwitlanding/platform/endpoints.py
+++ b/godwitlanding/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""HTTP endpoints of a VM besides requests: directory and readiness."""
+"""Builds the HTTP endpoints of a VM for its directory and its readiness."""
 
 import orjson
 
--- a/godwitlanding/program.py
+++ b/godwitlanding/program.py
@@ -83,9 +83,9 @@
         self.occupancy = Occupancy()
         self.worktimes = WorkTimes()
         self.fleet = Fleet()
-        self.poison = PoisonLedger()
+        self.poison_ledger = PoisonLedger()
         bounds = settings.bounds
-        self.budget = RetryBudget(
+        self.retry_budget = RetryBudget(
             bounds.retry_ratio, bounds.retry_window_s, bounds.retry_slack
         )
         self.store = ObjectStore(settings.store_address, counters)
@@ -98,7 +98,7 @@
             loop.time(),
         )
         WorkspaceGauges(self.allotments, counters)
-        self.limits = LimitGossip(
+        self.limit_gossip = LimitGossip(
             self.registry, settings.region, settings.region_by_zone.values(), counters
         )
         self.peers = Peers(
@@ -108,7 +108,7 @@
             self._record_crash,
             self.object_map,
             AllotmentGossip(self.allotments),
-            self.limits,
+            self.limit_gossip,
         )
         self.peers.is_ready = self.is_ready
         self.directory = Directory(
@@ -121,29 +121,33 @@
             self.worktimes,
             self.fleet,
             self.object_map,
-            self.limits,
+            self.limit_gossip,
         )
         pool = pool or UpstreamPool(HEADER_NAMES.request_id, counters)
-        self.courier = UpstreamClient(
+        self.upstream_client = UpstreamClient(
             HEADER_NAMES,
             read_self_report,
             pool,
             self.occupancy,
             self.worktimes,
-            self.limits,
+            self.limit_gossip,
             counters,
-            self.poison,
+            self.poison_ledger,
         )
         self.admission = Admission(
             HEADER_NAMES,
-            self.budget,
+            self.retry_budget,
             self.allotments,
             ConfigFreshness(self._is_config_fresh, self._may_trust_keys),
         )
-        self.carrier = RequestHandler(
-            HEADER_NAMES, self.budget, self.poison, self.allotments, counters
+        self.request_handler = RequestHandler(
+            HEADER_NAMES,
+            self.retry_budget,
+            self.poison_ledger,
+            self.allotments,
+            counters,
         )
-        self.carrier.get_vm_count = self.peers.count_vms
+        self.request_handler.get_vm_count = self.peers.count_vms
         self._now = loop.time
         self.vm_mirror = self._make_mirror(
             VM_KIND,
@@ -152,19 +156,19 @@
             on_known=self._note_vms_known,
         )
         self.mirrors = self._make_mirrors()
-        self.saved_map = SavedObjectMap(
+        self.saved_object_map = SavedObjectMap(
             self.store, OBJECT_MAP_KIND, settings.region, self.object_map
         )
-        self.vm_mirror.on_restored.append(self.saved_map.note_restored)
+        self.vm_mirror.on_restored.append(self.saved_object_map.note_restored)
         self.feed = Feed(settings, self.mirrors, counters)
-        self.reader = SourceSelector(
+        self.source_selector = SourceSelector(
             settings,
             self.fleet,
             self.peers.digests,
             self.feed,
             self.mirrors,
         )
-        self.peers.get_store_state = self.reader.get_store_state
+        self.peers.get_store_state = self.source_selector.get_store_state
         self.front = Front(settings.caller_address, bounds.stop_s)
         self.front.needs += ("directory", "readiness", "metrics", "presence", "reader")
 
@@ -172,7 +176,7 @@
         # Two of the lists that a VM reads at startup must not be stale: the
         # VMs, because all VMs start at the same time and would not know each
         # other, and the configuration, because requests for a missing route
-        # are refused. The other lists are updated by neighbours soon after.
+        # are refused. The other lists are updated by peers soon after.
         upstream_mirror = self._make_mirror(
             UPSTREAM_KIND,
             self._apply_upstream,
@@ -201,13 +205,13 @@
             self.peers,
             self.presence,
             self.chooser,
-            self.courier,
+            self.upstream_client,
             self.admission,
-            self.carrier,
+            self.request_handler,
             *self.mirrors,
             self.feed,
-            self.reader,
-            self.saved_map,
+            self.source_selector,
+            self.saved_object_map,
             PageServer(
                 "directory",
                 self._settings.directory_address,
@@ -233,11 +237,11 @@
         """Apply changed settings; changed addresses need a restart."""
         self._settings = settings
         bounds = settings.bounds
-        self.budget.set_bounds(
+        self.retry_budget.set_bounds(
             bounds.retry_ratio, bounds.retry_window_s, bounds.retry_slack
         )
         self.allotments.set_bounds(settings.region_by_zone.values(), bounds.allotment)
-        self.limits.set_regions(settings.region_by_zone.values())
+        self.limit_gossip.set_regions(settings.region_by_zone.values())
         self.registry.set_regions(settings.region_by_zone)
         self.front.stop_s = bounds.stop_s
 
@@ -248,16 +252,18 @@
         return self.registry.is_complete()
 
     def _is_config_fresh(self):
-        return self.reader.is_fresh()
+        return self.source_selector.is_fresh()
 
     def _may_trust_keys(self):
         bounds = self._settings.bounds
         if not bounds.strict_revoke:
             return True
-        return self.reader.get_staleness_s() <= bounds.revoke_s
+        return self.source_selector.get_staleness_s() <= bounds.revoke_s
 
     def _record_crash(self, crash):
-        self.poison.note_report(crash.fingerprint, crash.upstream, 1, self._now())
+        self.poison_ledger.note_report(
+            crash.fingerprint, crash.upstream, 1, self._now()
+        )
 
     def _apply_config(self, name, version, value):
         if name != CONFIG_NAME or value is None:
--- a/godwitlanding/tests/decisions/test_storereaders.py
+++ b/godwitlanding/tests/decisions/test_storereaders.py
@@ -90,8 +90,8 @@
     # A VM that read while the first ones were unavailable stops only when they
     # read again, or the other VMs would have no source in between.
     own = StoreAccess(ORDER[3], True, False)
-    neighbours = make_store_access(own.vm, readers=ORDER[:others])
-    assert may_stop_reading(own, ORDER, neighbours) is may_stop
+    access_by_vm = make_store_access(own.vm, readers=ORDER[:others])
+    assert may_stop_reading(own, ORDER, access_by_vm) is may_stop
 
 
 # The present source, the readers, sources in other regions, and the choice.
@@ -111,8 +111,8 @@
 @pytest.mark.parametrize(("current", "readers", "remote_sources", "expected"), SOURCES)
 def test_choose_source(current, readers, remote_sources, expected):
     own = ORDER[-1]
-    neighbours = make_store_access(own, readers=readers)
-    assert choose_source(ORDER, neighbours, current, remote_sources) == expected
+    access_by_vm = make_store_access(own, readers=readers)
+    assert choose_source(ORDER, access_by_vm, current, remote_sources) == expected
 
 
 def test_single_vm_has_no_source():
--- a/godwitlanding/tests/gateway/test_chooser.py
+++ b/godwitlanding/tests/gateway/test_chooser.py
@@ -85,7 +85,7 @@
             caller_address=("127.0.0.1", 1),
             capacity=CAPACITY,
         )
-        self.limits = LimitGossip(
+        self.limit_gossip = LimitGossip(
             self.registry, "a", REGION_BY_ZONE.values(), Counters()
         )
         self.chooser = Chooser(
@@ -94,7 +94,7 @@
             self.worktimes,
             fleet,
             self.object_map,
-            self.limits,
+            self.limit_gossip,
         )
         self._rates = rates or {}
         for name, zone, cold_s in upstreams:
--- a/godwitlanding/tests/gateway/test_limits.py
+++ b/godwitlanding/tests/gateway/test_limits.py
@@ -36,7 +36,7 @@
         for key in keys:
             harness.choose(make_request(key=key))
         known = harness.choose(make_request(key=keys[0])).upstream
-        harness.limits.note_response(known, 2.0)
+        harness.limit_gossip.note_response(known, 2.0)
         refused = 0
         for _ in range(80):
             refused += isinstance(harness.choose(make_request(key=keys[0])), Rejection)
@@ -48,7 +48,7 @@
 async def test_limited_upstream_gets_no_new_objects():
     async with ChooserHarness(WARM) as harness:
         limited = harness.choose(make_request(key="known")).upstream
-        harness.limits.note_response(limited, 3.0)
+        harness.limit_gossip.note_response(limited, 3.0)
         newly_sent = 0
         for number in range(80):
             harness.choose(make_request(key="known"))
@@ -64,7 +64,7 @@
     for limit_per_s in (None, 100.0):
         async with ChooserHarness(WARM) as harness:
             for upstream in list(harness.registry.upstream_by_id.values())[:2]:
-                harness.limits.note_response(upstream, limit_per_s)
+                harness.limit_gossip.note_response(upstream, limit_per_s)
             await asyncio.sleep(1.0)
             keys = [f"k{number}" for number in range(40)]
             sent[limit_per_s] = await count_sent(harness, "u0", 4.0, keys)
@@ -74,7 +74,7 @@
 async def test_each_upstream_gets_its_rate_when_all_are_limited():
     async with ChooserHarness(WARM) as harness:
         for upstream in list(harness.registry.upstream_by_id.values()):
-            harness.limits.note_response(upstream, 1.0)
+            harness.limit_gossip.note_response(upstream, 1.0)
         sent = 0
         for _ in range(100):
             sent += not isinstance(harness.choose(make_request(key="")), Rejection)
@@ -92,7 +92,7 @@
         loop = asyncio.get_running_loop()
         for upstream_id, _, _ in near:
             upstream = harness.registry.upstream_by_id[upstream_id]
-            harness.limits.note_response(upstream, 1.0)
+            harness.limit_gossip.note_response(upstream, 1.0)
         refused = []
         for number in range(600):
             choice = harness.choose(make_request(key=""))
@@ -112,8 +112,8 @@
         harness.registry.put_upstream(upstream)
         harness.receive("vm-2", "10.0.0.2", rate_by_service={"s": 20.0})
         harness.occupancy.begin("u")
-        harness.limits.note_response(upstream, 2.5)
-        harness.limits.note_sent("u", asyncio.get_running_loop().time())
+        harness.limit_gossip.note_response(upstream, 2.5)
+        harness.limit_gossip.note_sent("u", asyncio.get_running_loop().time())
         harness.transport.sent.clear()
         await asyncio.sleep(0.3)
         messages = [m for host, m in harness.transport.sent if host == "10.0.0.2"]
@@ -130,8 +130,8 @@
         number = harness.registry.number_by_id["u"]
         rows = (LimitRow(number, 2.5, 0.1, 0), LimitRow(1, 2.5, 0.1, 0))
         harness.receive("vm-2", "10.0.0.2", limits=rows)
-        assert harness.limits.is_limited("u")
-        assert not harness.limits.may_send("u", asyncio.get_running_loop().time())
+        assert harness.limit_gossip.is_limited("u")
+        assert not harness.limit_gossip.may_send("u", asyncio.get_running_loop().time())
 
 
 async def test_limit_echoed_by_a_peer_is_not_a_change(monkeypatch):
@@ -141,7 +141,7 @@
         harness.registry.put_upstream(upstream)
         rows = (LimitRow(harness.registry.number_by_id["u"], 2.7, 0.0, 0),)
         for sequence in range(1, 5):
-            harness.limits.note_response(upstream, 2.7)
+            harness.limit_gossip.note_response(upstream, 2.7)
             await asyncio.sleep(0.1)
             harness.receive("vm-2", "10.0.0.2", sequence=sequence, limits=rows)
             await asyncio.sleep(0.1)
@@ -158,7 +158,7 @@
         harness.receive("vm-2", "10.0.0.2", digests=(digest,))
         await asyncio.sleep(1.0)
         now = asyncio.get_running_loop().time()
-        assert not harness.limits.may_send("far", now)
+        assert not harness.limit_gossip.may_send("far", now)
 
 
 async def test_limit_is_sent_at_once_to_the_region_of_its_upstream(monkeypatch):
@@ -171,7 +171,7 @@
         )
         harness.receive("vm-2", "10.0.0.2", digests=(digest,))
         harness.transport.sent.clear()
-        harness.limits.note_response(upstream, 2.5)
+        harness.limit_gossip.note_response(upstream, 2.5)
         ((host, message),) = harness.transport.sent
         assert host == "10.9.9.9"
         assert message.limits[0].per_s == 2.5
@@ -226,7 +226,7 @@
             key = f"k{number}"
             key_by_home[harness.choose(make_request(key=key)).upstream.id] = key
         for upstream in list(harness.registry.upstream_by_id.values()):
-            harness.limits.note_response(upstream, 4.0)
+            harness.limit_gossip.note_response(upstream, 4.0)
         await asyncio.sleep(1.05)
         for home, key in key_by_home.items():
             for _ in range(4 if home == "u0" else 2):
--- a/godwitlanding/tests/gateway/test_peers.py
+++ b/godwitlanding/tests/gateway/test_peers.py
@@ -70,7 +70,7 @@
         self.object_map = ObjectMap()
         self.allotments = Allotments("a", ("a", "b"), Tolerance(), 0.0)
         self.counters = Counters()
-        self.limits = LimitGossip(
+        self.limit_gossip = LimitGossip(
             self.registry, "a", REGION_BY_ZONE.values(), self.counters
         )
         self.peers = Peers(
@@ -80,7 +80,7 @@
             self.crashes.append,
             self.object_map,
             AllotmentGossip(self.allotments),
-            self.limits,
+            self.limit_gossip,
         )
         self.peers.is_ready = lambda: True
         self.transport = RecordingTransport()
--- a/godwitlanding/tests/gateway/test_upstream.py
+++ b/godwitlanding/tests/gateway/test_upstream.py
@@ -9,8 +9,8 @@
 from godwitlanding.base.metrics import Counters
 from godwitlanding.gateway.upstream import (
     MAX_BUFFERED_BYTES,
-    Failure,
     UpstreamError,
+    UpstreamFailure,
     UpstreamPool,
 )
 
@@ -26,7 +26,7 @@
     return head + extra + b"\r\n" + body
 
 
-class Upstream:
+class ScriptedUpstream:
     """Sends one of ``scripts`` per request, then does what ``end`` says."""
 
     def __init__(self, *scripts, end="keep"):
@@ -74,7 +74,7 @@
 
 
 async def test_connection_is_reused():
-    async with Upstream(make_response(), make_response(b"b")) as upstream:
+    async with ScriptedUpstream(make_response(), make_response(b"b")) as upstream:
         assert (await upstream.request()).body == b"hello"
         assert (await upstream.request()).body == b"b"
         assert upstream.connections == 1
@@ -103,38 +103,46 @@
     ],
 )
 async def test_complete_response(script):
-    async with Upstream(script) as upstream:
+    async with ScriptedUpstream(script) as upstream:
         assert (await upstream.request()).body == b"hello"
 
 
 async def test_response_without_a_length_ends_with_its_connection():
-    async with Upstream(make_response(length=False), end="close") as upstream:
+    async with ScriptedUpstream(make_response(length=False), end="close") as upstream:
         assert (await upstream.request()).body == b"hello"
 
 
 @pytest.mark.parametrize(
     ("script", "end", "failure"),
     [
-        pytest.param(b"", "close", Failure.RESET, id="closed without a response"),
-        pytest.param(b"", "reset", Failure.RESET, id="reset without a response"),
-        pytest.param(make_response(length=9), "close", Failure.BROKEN, id="truncated"),
+        pytest.param(
+            b"", "close", UpstreamFailure.RESET, id="closed without a response"
+        ),
+        pytest.param(
+            b"", "reset", UpstreamFailure.RESET, id="reset without a response"
+        ),
+        pytest.param(
+            make_response(length=9), "close", UpstreamFailure.BROKEN, id="truncated"
+        ),
         pytest.param(
             make_response(length=False),
             "reset",
-            Failure.BROKEN,
+            UpstreamFailure.BROKEN,
             id="reset during the body",
         ),
-        pytest.param(b"lorem ipsum\r\n\r\n", "keep", Failure.GARBAGE, id="not HTTP"),
+        pytest.param(
+            b"lorem ipsum\r\n\r\n", "keep", UpstreamFailure.GARBAGE, id="not HTTP"
+        ),
         pytest.param(
             b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n",
             "keep",
-            Failure.GARBAGE,
+            UpstreamFailure.GARBAGE,
             id="without a request id",
         ),
         pytest.param(
             make_response(request_id=b"r0"),
             "close",
-            Failure.BROKEN,
+            UpstreamFailure.BROKEN,
             id="only for another request",
         ),
     ],
@@ -143,7 +151,7 @@
     # An upstream truncates a response, or sends bytes that do not answer the
     # request. Forwarded, a caller would get half a pass or the pass of another
     # caller.
-    async with Upstream(script, end=end) as upstream:
+    async with ScriptedUpstream(script, end=end) as upstream:
         with pytest.raises(UpstreamError) as caught:
             await upstream.request()
         assert caught.value.failure is failure
@@ -152,7 +160,7 @@
 async def test_surplus_response_is_discarded():
     # An upstream responds to one request twice. The next request must not read
     # the surplus response as its own.
-    async with Upstream(
+    async with ScriptedUpstream(
         make_response() + make_response(), make_response(b"b")
     ) as upstream:
         assert (await upstream.request()).body == b"hello"
@@ -162,7 +170,7 @@
 
 async def test_closing_connection_is_not_reused():
     script = make_response(extra=b"connection: close\r\n")
-    async with Upstream(script, make_response(b"b")) as upstream:
+    async with ScriptedUpstream(script, make_response(b"b")) as upstream:
         await upstream.request()
         assert upstream.pool.take("u", True) is None
 
@@ -186,7 +194,7 @@
 ):
     # The upstream closes an idle connection. A payment that is sent at the
     # same moment may or may not have run, and cannot be sent again.
-    async with Upstream(make_response(extra=keep_alive)) as upstream:
+    async with ScriptedUpstream(make_response(extra=keep_alive)) as upstream:
         await upstream.request()
         connection = upstream.pool.take("u", True)
         connection.idle_since -= idle_s
@@ -220,7 +228,7 @@
     # notified, so that the caller does not take it as complete.
     body = b"x" * (2 * MAX_BUFFERED_BYTES)
     script = make_response(body, length=len(body) + missing)
-    async with Upstream(script, end="close") as upstream:
+    async with ScriptedUpstream(script, end="close") as upstream:
         sink = Sink()
         response = await upstream.request(sink=sink)
         assert response.is_stream
@@ -230,11 +238,11 @@
 
 
 async def test_refused_connection_is_a_connect_failure():
-    async with Upstream() as upstream:
+    async with ScriptedUpstream() as upstream:
         host, port = upstream.address
         with pytest.raises(UpstreamError) as caught:
             await upstream.pool.connect("u", (host, 1), 0.5)
-        assert caught.value.failure is Failure.CONNECT
+        assert caught.value.failure is UpstreamFailure.CONNECT
 
 
 async def test_connection_is_not_reused_if_the_body_was_not_read():
@@ -243,7 +251,7 @@
     # that body.
     body = b"x" * (16 << 20)
     head = b"POST / HTTP/1.1\r\nhost: h\r\ncontent-length: %d\r\n\r\n" % len(body)
-    async with Upstream(make_response(), make_response(b"b")) as upstream:
+    async with ScriptedUpstream(make_response(), make_response(b"b")) as upstream:
         assert (await upstream.request(data=head + body)).body == b"hello"
         assert (await upstream.request()).body == b"b"
         assert upstream.connections == 2
--- a/godwitlanding/tests/gateway/test_upstreamclient.py
+++ b/godwitlanding/tests/gateway/test_upstreamclient.py
@@ -53,7 +53,7 @@
         )
         self.registry = Registry({"a1": "a"})
         self.registry.put_upstream(UPSTREAM)
-        self.limits = LimitGossip(self.registry, "a", ("a",), Counters())
+        self.limit_gossip = LimitGossip(self.registry, "a", ("a",), Counters())
         self.pool = SimpleNamespace(
             take=lambda upstream, idempotent: Connection(self.status, self.headers),
             give_back=lambda upstream, connection: None,
@@ -61,29 +61,31 @@
             trim=lambda: None,
             close=lambda: None,
         )
-        self.courier = UpstreamClient(
+        self.upstream_client = UpstreamClient(
             HEADER_NAMES,
             read_self_report,
             self.pool,
             Occupancy(),
             self.worktimes,
-            self.limits,
+            self.limit_gossip,
             Counters(),
             PoisonLedger(),
         )
 
     async def __aenter__(self):
         services = {"chooser": self.chooser, "registry": self.registry}
-        await self.courier.start(SimpleNamespace(get=services.get))
+        await self.upstream_client.start(SimpleNamespace(get=services.get))
         return self
 
     async def __aexit__(self, *error):
-        await self.courier.stop()
+        await self.upstream_client.stop()
 
     async def send(self):
         exchange = SimpleNamespace(method=b"GET", target=b"/", headers=[], body=b"")
         choice = SimpleNamespace(upstream=UPSTREAM, distance_s=0.0)
-        outcome, _, _ = await self.courier.send(exchange, make_request(), choice, None)
+        outcome, _, _ = await self.upstream_client.send(
+            exchange, make_request(), choice, None
+        )
         return outcome
 
 
@@ -119,7 +121,7 @@
     # Guards against ignoring a limit that is sent only with refusals.
     async with Setting(status, [*headers, LIMIT]) as setting:
         await setting.send()
-        assert setting.limits.is_limited("u0")
+        assert setting.limit_gossip.is_limited("u0")
 
 
 @pytest.mark.parametrize(
@@ -138,11 +140,11 @@
         setting.headers = headers
         await asyncio.sleep(0.1)
         await setting.send()
-        assert setting.limits.is_limited("u0") is stays_limited
+        assert setting.limit_gossip.is_limited("u0") is stays_limited
 
 
 async def test_limit_of_another_upstream_at_the_address_is_ignored():
     # Guards against applying the limit of one upstream to another.
     async with Setting(421, [LIMIT]) as setting:
         await setting.send()
-        assert not setting.limits.is_limited("u0")
+        assert not setting.limit_gossip.is_limited("u0")
--- a/godwitlanding/tests/gateway/test_whole_path.py
+++ b/godwitlanding/tests/gateway/test_whole_path.py
@@ -136,9 +136,9 @@
     await world.ask(world.vms[0], "/new/1", request_id="unknown-1")
     lines = [json.loads(line) for line in world.vms[0].read_log().splitlines()]
     lines = [line for line in lines if line.get("request") == "unknown-1"]
-    told = {line["message_type"]: line for line in lines}["admission:unknown_route"]
-    assert (told["config"], told["fresh"]) == (7, True)
-    assert told["config_age_s"] >= 0
+    logged = {line["message_type"]: line for line in lines}["admission:unknown_route"]
+    assert (logged["config"], logged["fresh"]) == (7, True)
+    assert logged["config_age_s"] >= 0
 
 
 async def test_older_or_unreadable_configuration_is_ignored(world):
@@ -286,9 +286,9 @@
     assert response.status == 200
     await asyncio.sleep(0.3)
     lines = [json.loads(line) for line in world.vms[0].read_log().splitlines()]
-    told = {line["message_type"]: line for line in lines if "pay-5" in str(line)}
-    assert told["carrier:attempt"]["outcome"] == "answered"
-    assert told["carrier:done"]["status"] == 200
+    logged = {line["message_type"]: line for line in lines if "pay-5" in str(line)}
+    assert logged["carrier:attempt"]["outcome"] == "answered"
+    assert logged["carrier:done"]["status"] == 200
     assert "kernel:started" in {line["message_type"] for line in lines}
 
 
@@ -357,8 +357,10 @@
 )
 
 
-@pytest.mark.parametrize(("fault", "status", "words"), FAULTS)
-async def test_logs_of_a_request_id_show_the_cause(world, fault, status, words):
+@pytest.mark.parametrize(("fault", "status", "expected_words"), FAULTS)
+async def test_logs_of_a_request_id_show_the_cause(
+    world, fault, status, expected_words
+):
     # A member complains days later. The operator on call has only the request
     # id and the logs of the VMs.
     for worker_id in ("pay-1", "pay-2"):
@@ -367,9 +369,11 @@
     assert response.status == status
     await asyncio.sleep(0.3)
     story = read_timeline([vm.log for vm in world.vms], "pay-1")
-    told = " ".join(str(row.fields) for row in story if row.what.startswith("carrier"))
-    for word in words:
-        assert word in told, story
+    logged = " ".join(
+        str(row.fields) for row in story if row.what.startswith("carrier")
+    )
+    for word in expected_words:
+        assert word in logged, story
     assert any(row.fields.get("upstream", "").startswith("pay-") for row in story)
 
 
--- a/godwitlanding/vm.py
+++ b/godwitlanding/vm.py
@@ -39,7 +39,7 @@
         help=f"Port on which /metrics is served; default: {METRICS_PORT}",
     )
     parser.add_argument(
-        "--check", action="store_true", help="Check the settings and end"
+        "--check", action="store_true", help="Check the settings and exit"
     )
     parser.add_argument("--version", action="version", version=__version__)
     return parser.parse_args(argv)
