--- a/godwitlanding/tests/load/gateway_model.py
+++ b/godwitlanding/tests/load/gateway_model.py
@@ -136,7 +136,11 @@
         for task in list(self._tasks):
             task.cancel()
         for vm in self._vm_by_host.values():
-            for service in (vm.program.courier, vm.program.chooser, vm.program.peers):
+            for service in (
+                vm.program.upstream_client,
+                vm.program.chooser,
+                vm.program.peers,
+            ):
                 await service.stop()
 
     def get_one_way_delay_s(self, zone, upstream):
@@ -221,7 +225,7 @@
             (HEADER_NAMES.affinity_key, key),
             (HEADER_NAMES.deadline_ms, b"%d" % (remaining_s * 1000)),
         ]
-        program.carrier.take(exchange)
+        program.request_handler.take(exchange)
         await connection.answered
         head = exchange.out[0]
         status = int(head.split(b" ", 2)[1])
@@ -296,9 +300,9 @@
             program.registry,
             program.peers,
             program.chooser,
-            program.courier,
+            program.upstream_client,
             program.admission,
-            program.carrier,
+            program.request_handler,
         )
         service_by_name = {service.name: service for service in services}
         kernel = SimpleNamespace(get=service_by_name.__getitem__)
--- a/godwitlanding/tests/load/upstream_model.py
+++ b/godwitlanding/tests/load/upstream_model.py
@@ -4,7 +4,7 @@
 import re
 from collections import Counter, OrderedDict, deque
 
-from godwitlanding.gateway.upstream import Failure, Response, UpstreamError
+from godwitlanding.gateway.upstream import Response, UpstreamError, UpstreamFailure
 from godwitlanding.platform.headers import HEADER_NAMES
 
 _KEY = re.compile(rb"(?i)godwitlanding-affinity-key: ([^\r]*)")
@@ -85,7 +85,7 @@
         one_way_delay_s = self._fleet.get_one_way_delay_s(self._zone, upstream)
         if 2 * one_way_delay_s > timeout_s:
             await asyncio.sleep(timeout_s)
-            raise UpstreamError(Failure.CONNECT)
+            raise UpstreamError(UpstreamFailure.CONNECT)
         await asyncio.sleep(2 * one_way_delay_s)
         return ConnectionModel(self._fleet, self._zone, upstream)
 
