--- a/godwitlanding/daemons/journal.py
+++ b/godwitlanding/daemons/journal.py
@@ -11,7 +11,7 @@
 Pure: the caller makes the writes and reports their results.
 
 >>> journal = Journal("za1-entry-1")
->>> claim = journal.press(ticket, fingerprint=7).unwrap()
+>>> claim = journal.submit(ticket, fingerprint=7).unwrap()
 >>> write = journal.begin_write()
 >>> journal.end_write(write, version=1)
 [claim]
@@ -89,7 +89,7 @@
         self._write_by_number = {}
         self._size = 0
 
-    def press(self, ticket, fingerprint, former=()):
+    def submit(self, ticket, fingerprint, former=()):
         """Claim a ticket or return the recorded outcome of its work.
 
         Returns ``Ok(claim)`` for new work, ``Ok(outcome)`` for finished
--- a/godwitlanding/daemons/services/claims.py
+++ b/godwitlanding/daemons/services/claims.py
@@ -96,7 +96,7 @@
 
     async def _run_locally(self, request, sink, ticket, closed_journals):
         fingerprint = compute_body_fingerprint(request)
-        submitted = self._journal.press(ticket, fingerprint, closed_journals)
+        submitted = self._journal.submit(ticket, fingerprint, closed_journals)
         if submitted.is_err():
             return submitted.unwrap_err()
         claim = submitted.unwrap()
--- a/godwitlanding/daemons/services/journal.py
+++ b/godwitlanding/daemons/services/journal.py
@@ -64,9 +64,9 @@
         """Return the counts of the journal for the status page."""
         return self.journal.get_status()
 
-    def press(self, ticket, fingerprint, former=()):
-        """Submit a ticket; see ``Journal.press``."""
-        submitted = self.journal.press(ticket, fingerprint, former)
+    def submit(self, ticket, fingerprint, former=()):
+        """Submit a ticket; see ``Journal.submit``."""
+        submitted = self.journal.submit(ticket, fingerprint, former)
         self._changed.set()
         return submitted
 
--- a/godwitlanding/tests/benchmarks/bench_claims.py
+++ b/godwitlanding/tests/benchmarks/bench_claims.py
@@ -74,7 +74,7 @@
     """Submit a request, run its work and record how long the claim took."""
     ticket = Ticket("pay", JOURNALED, "za1", "h", int(time.time()), f"{number:032x}")
     began = time.perf_counter()
-    claim = writer.press(ticket, number).unwrap()
+    claim = writer.submit(ticket, number).unwrap()
     await writer.wait_recorded(claim)
     waits.append(time.perf_counter() - began)
     await asyncio.sleep(WORK_S)
--- a/godwitlanding/tests/benchmarks/bench_journal.py
+++ b/godwitlanding/tests/benchmarks/bench_journal.py
@@ -58,7 +58,7 @@
 
     async def pay():
         began = time.perf_counter()
-        claim = writer.press(make_ticket(), 1).unwrap()
+        claim = writer.submit(make_ticket(), 1).unwrap()
         assert await writer.wait_recorded(claim) is None
         waits.append(time.perf_counter() - began)
         await asyncio.sleep(WORK_S)
@@ -87,7 +87,7 @@
     for body in (None, BODY):
         journal = Journal("v-entry-1")
         for _ in range(records):
-            claim = journal.press(make_ticket(), 1).unwrap()
+            claim = journal.submit(make_ticket(), 1).unwrap()
             journal.finish(claim, make_outcome(body))
         began = time.perf_counter()
         write = journal.begin_write()
--- a/godwitlanding/tests/daemons/test_claims.py
+++ b/godwitlanding/tests/daemons/test_claims.py
@@ -199,7 +199,7 @@
 @pytest.mark.parametrize(
     ("step", "expected", "runs"),
     [
-        ("pressed", (201, b"paid"), 1),
+        ("submitted", (201, b"paid"), 1),
         ("answer lost", (4002, "unknown"), 0),
         ("claimed", (4002, "unknown"), 0),
         ("done, not written", (4002, "unknown"), 0),
--- a/godwitlanding/tests/daemons/test_journal.py
+++ b/godwitlanding/tests/daemons/test_journal.py
@@ -40,7 +40,7 @@
 
 def test_work_is_dispatched_only_after_its_claim_is_recorded():
     journal = Journal("h0")
-    claim = journal.press(make_ticket(), 7).unwrap()
+    claim = journal.submit(make_ticket(), 7).unwrap()
     assert not claim.may_dispatch
     write = journal.begin_write()
     assert not claim.may_dispatch
@@ -51,8 +51,8 @@
 def run_until(step):
     """Run a home until ``step``; return its journal and object."""
     journal, platform = Journal("h0"), FakeObject()
-    claim = journal.press(make_ticket(), 7).unwrap()
-    if step == "pressed":
+    claim = journal.submit(make_ticket(), 7).unwrap()
+    if step == "submitted":
         return journal, platform
     write = journal.begin_write()
     version = platform.put(write.value, write.expected_version)
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize(
     ("step", "expected"),
     [
-        ("pressed", "runs"),
+        ("submitted", "runs"),
         ("answer lost", Code.OUTCOME_UNKNOWN),
         ("claimed", Code.OUTCOME_UNKNOWN),
         ("done, not written", Code.OUTCOME_UNKNOWN),
@@ -89,16 +89,16 @@
     _, platform = run_until(step)
     closed, value = close_journal(platform.stored, "h0", Closer("za2", "h1"))
     assert platform.put(value, platform.stored.version if platform.stored else 0)
-    pressed = Journal("h1").press(make_ticket(), 7, [closed])
+    submitted = Journal("h1").submit(make_ticket(), 7, [closed])
     if expected == "runs":
-        assert isinstance(pressed.unwrap(), Claim)
+        assert isinstance(submitted.unwrap(), Claim)
     elif expected == PAID:
-        assert pressed.unwrap() == PAID
+        assert submitted.unwrap() == PAID
     else:
-        assert pressed.unwrap_err().code == expected
+        assert submitted.unwrap_err().code == expected
 
 
-@pytest.mark.parametrize("step", ["pressed", "answer lost", "claimed"])
+@pytest.mark.parametrize("step", ["submitted", "answer lost", "claimed"])
 def test_replaced_home_dispatches_no_new_claim(step):
     """A home is paused, another process closes its journal, and it resumes.
 
@@ -107,14 +107,14 @@
     journal, platform = run_until(step)
     _, value = close_journal(platform.stored, "h0", Closer("za2", "h1"))
     platform.put(value, platform.stored.version if platform.stored else 0)
-    late = journal.press(make_ticket("n2"), 7).unwrap()
+    late = journal.submit(make_ticket("n2"), 7).unwrap()
     write = journal.begin_write()
     assert platform.put(write.value, write.expected_version) is None
     assert journal.reconcile(platform.stored) == []
     assert journal.closed_by == Closer("za2", "h1")
     assert late in journal.void_waiting()
     assert not late.may_dispatch
-    refused = journal.press(make_ticket("n3"), 7)
+    refused = journal.submit(make_ticket("n3"), 7)
     assert refused.unwrap_err().code == Code.JOURNAL_UNAVAILABLE
 
 
@@ -126,7 +126,7 @@
     without a recorded claim.
     """
     journal, platform = Journal("h0"), FakeObject()
-    claim = journal.press(make_ticket(), 7).unwrap()
+    claim = journal.submit(make_ticket(), 7).unwrap()
     write = journal.begin_write()
     if took_effect:
         platform.put(write.value, write.expected_version)
@@ -143,7 +143,7 @@
     journal, platform = run_until("answer lost")
     journal.reconcile(platform.stored)
     platform.stored = None
-    claim = journal.press(make_ticket("n2"), 7).unwrap()
+    claim = journal.submit(make_ticket("n2"), 7).unwrap()
     write = journal.begin_write()
     assert platform.put(write.value, write.expected_version) is None
     assert journal.reconcile(platform.stored) == []
@@ -156,10 +156,10 @@
 def test_late_write_is_identified_by_its_number():
     """A write is delayed but takes effect before the next one."""
     journal, platform = Journal("h0"), FakeObject()
-    first = journal.press(make_ticket("n1"), 7).unwrap()
+    first = journal.submit(make_ticket("n1"), 7).unwrap()
     slow = journal.begin_write()
     journal.reconcile(platform.stored)
-    second = journal.press(make_ticket("n2"), 7).unwrap()
+    second = journal.submit(make_ticket("n2"), 7).unwrap()
     fast = journal.begin_write()
     platform.put(slow.value, slow.expected_version)
     assert platform.put(fast.value, fast.expected_version) is None
@@ -172,12 +172,12 @@
     """A caller retries while its first request runs, and afterwards."""
     journal = Journal("h0")
     ticket = make_ticket(kind=kind)
-    claim = journal.press(ticket, 7).unwrap()
-    assert journal.press(ticket, 7).unwrap_err().code == Code.STILL_RUNNING
-    assert journal.press(ticket, 8).unwrap_err().code == Code.TICKET_MISMATCH
+    claim = journal.submit(ticket, 7).unwrap()
+    assert journal.submit(ticket, 7).unwrap_err().code == Code.STILL_RUNNING
+    assert journal.submit(ticket, 8).unwrap_err().code == Code.TICKET_MISMATCH
     journal.finish(claim, PAID)
-    assert journal.press(ticket, 7).unwrap() == PAID
-    assert journal.press(ticket, 8).unwrap_err().code == Code.TICKET_MISMATCH
+    assert journal.submit(ticket, 7).unwrap() == PAID
+    assert journal.submit(ticket, 8).unwrap_err().code == Code.TICKET_MISMATCH
 
 
 def test_ticket_whose_record_was_dropped_is_never_run_again():
@@ -188,19 +188,19 @@
     """
     journal, platform = run_until("done")
     journal.forget(100)
-    assert journal.press(make_ticket(), 7).unwrap_err().code == Code.TICKET_EXPIRED
+    assert journal.submit(make_ticket(), 7).unwrap_err().code == Code.TICKET_EXPIRED
     write = journal.begin_write()
     platform.put(write.value, write.expected_version)
     closed, _ = close_journal(platform.stored, "h0", Closer("za2", "h1"))
-    pressed = Journal("h1").press(make_ticket(), 7, [closed])
-    assert pressed.unwrap_err().code == Code.TICKET_EXPIRED
+    submitted = Journal("h1").submit(make_ticket(), 7, [closed])
+    assert submitted.unwrap_err().code == Code.TICKET_EXPIRED
 
 
 def test_record_of_running_work_is_kept():
     journal = Journal("h0")
-    journal.press(make_ticket(), 7)
+    journal.submit(make_ticket(), 7)
     journal.forget(500)
-    assert journal.press(make_ticket(), 7).unwrap_err().code == Code.STILL_RUNNING
+    assert journal.submit(make_ticket(), 7).unwrap_err().code == Code.STILL_RUNNING
 
 
 def test_bodies_are_dropped_from_the_platform_but_not_from_memory():
@@ -208,7 +208,7 @@
     journal.drop_bodies(100)
     text = parse_journal(journal.begin_write().value)
     assert text.entry_by_nonce["n1"].outcome == PAID._replace(body=None)
-    assert journal.press(make_ticket(), 7).unwrap() == PAID
+    assert journal.submit(make_ticket(), 7).unwrap() == PAID
 
 
 def test_full_journal_drops_old_bodies_and_then_refuses():
@@ -219,10 +219,10 @@
     journal = Journal("h0")
     answer = PAID._replace(body=b"x" * 2048)
     count = 0
-    while (pressed := journal.press(make_ticket(f"{count:032}"), 7)).is_ok():
-        journal.finish(pressed.unwrap(), answer)
+    while (submitted := journal.submit(make_ticket(f"{count:032}"), 7)).is_ok():
+        journal.finish(submitted.unwrap(), answer)
         count += 1
-    assert pressed.unwrap_err().run == "no"
+    assert submitted.unwrap_err().run == "no"
     value = journal.begin_write().value
     assert count > 5000
     assert len(value) < 1_000_000
@@ -237,16 +237,16 @@
     """
     journal = Journal("h0")
     first = make_ticket("first", issued_s=1000)
-    journal.finish(journal.press(first, 7).unwrap(), PAID)
+    journal.finish(journal.submit(first, 7).unwrap(), PAID)
     for number in range(12_000):
         ticket = make_ticket(f"{number:032}", issued_s=1000 + number // 20)
-        pressed = journal.press(ticket, 7)
-        assert pressed.is_ok(), number
-        journal.finish(pressed.unwrap(), PAID)
+        submitted = journal.submit(ticket, 7)
+        assert submitted.is_ok(), number
+        journal.finish(submitted.unwrap(), PAID)
     assert len(journal.begin_write().value) < 1_000_000
-    assert journal.press(first, 7).unwrap_err().run == "unknown"
+    assert journal.submit(first, 7).unwrap_err().run == "unknown"
     two_minutes_ago = make_ticket(f"{12_000 - 2400:032}", issued_s=1480)
-    assert journal.press(two_minutes_ago, 7).unwrap().status == PAID.status
+    assert journal.submit(two_minutes_ago, 7).unwrap().status == PAID.status
 
 
 @pytest.mark.parametrize(
@@ -261,7 +261,7 @@
 WRITE_RESULTS = ("answered", "answered", "lost", "late")
 ENDS = ("done", "unknown", "withdraw", "forget")
 ACTIONS = [
-    *(("press", home, issued_s) for home in HOMES for issued_s in (1, 2, 2)),
+    *(("submit", home, issued_s) for home in HOMES for issued_s in (1, 2, 2)),
     *(("write", home, result) for home in HOMES for result in WRITE_RESULTS),
     *(("dispatch", home) for home in HOMES * 2),
     *(("end", home, end) for home in HOMES for end in ENDS if home < 2),
@@ -296,15 +296,15 @@
             return None
         return [self.closed[number] for number in range(home)]
 
-    def press(self, home, issued_s):
+    def submit(self, home, issued_s):
         former = self.find_former(home)
         if former is None:
             return
         ticket = make_ticket(f"n{issued_s}", issued_s=issued_s)
-        pressed = self.journals[home].press(ticket, 7, former)
-        if pressed.is_ok() and isinstance(pressed.unwrap(), Claim):
-            self.claims[home].append(pressed.unwrap())
-        elif pressed.is_ok():
+        submitted = self.journals[home].submit(ticket, 7, former)
+        if submitted.is_ok() and isinstance(submitted.unwrap(), Claim):
+            self.claims[home].append(submitted.unwrap())
+        elif submitted.is_ok():
             assert ticket.nonce in self.done
 
     def write(self, home, result):
